--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/ColdStart.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/ColdStart.java
@@ -1,10 +1,11 @@
 package org.radishpass.routing.config;
 
 /**
- * What an endpoint of a service bears shortly after its start, while it is slow.
+ * The warm-up of a service's endpoints: the time after a start in which an endpoint is slow, and its capacity
+ * meanwhile.
  *
- * @param millis how long it is cold, in milliseconds
- * @param requestsPerSecond the requests that it bears in that time
+ * @param millis the length of the warm-up, in milliseconds
+ * @param requestsPerSecond the requests per second that an endpoint can handle during its warm-up
  * @since 0.6.0
  */
 public record ColdStart(long millis, double requestsPerSecond) {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/EngineSpec.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/EngineSpec.java
@@ -1,10 +1,10 @@
 package org.radishpass.routing.config;
 
 /**
- * What the model engines of a service can take.
+ * The capacity of each model engine of a service.
  *
- * @param slots the requests that one engine runs at once
- * @param memoryTokens the prompt and output tokens that one engine's memory holds
+ * @param slots the number of requests that one engine runs concurrently
+ * @param memoryTokens the number of prompt and output tokens that fit into the memory of one engine
  * @since 0.2.0
  */
 public record EngineSpec(int slots, long memoryTokens) {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/RequestKind.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/RequestKind.java
@@ -1,18 +1,19 @@
 package org.radishpass.routing.config;
 
 /**
- * What may be done with a request that has perhaps run.
+ * Classifies requests by whether a request that may already have run can be sent again, and by the form of the
+ * response.
  *
  * @since 0.2.0
  */
 public enum RequestKind {
-    /** Running it again does no harm. */
+    /** The request may run more than once without harm. */
     IDEMPOTENT(true, false),
-    /** It runs once at most. */
+    /** The request must run at most once. */
     NON_IDEMPOTENT(false, false),
-    /** Its answer is a series of events that cannot be continued elsewhere; it runs once at most. */
+    /** The response is an event stream that no other endpoint can continue. The request must run at most once. */
     STREAM(false, true),
-    /** Its answer is a series of events that another endpoint can continue after the last one received. */
+    /** The response is an event stream that another endpoint can continue after the last event received. */
     RESUMABLE_STREAM(true, true);
 
     private final boolean mayRunAgain;
@@ -23,17 +24,17 @@
         this.streams = streams;
     }
 
-    /** Tells whether it may be sent again although it has perhaps run. */
+    /** Tells whether a request of this kind may be sent again when it may already have run. */
     public boolean mayRunAgain() {
         return mayRunAgain;
     }
 
-    /** Tells whether the answer is a series of events. */
+    /** Tells whether the response is an event stream. */
     public boolean streams() {
         return streams;
     }
 
-    /** Tells whether a broken answer can be continued at another endpoint. */
+    /** Tells whether another endpoint can continue a response that broke off. */
     public boolean resumes() {
         return this == RESUMABLE_STREAM;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/Route.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/Route.java
@@ -6,20 +6,20 @@
 import org.radishpass.routing.fleet.Region;
 
 /**
- * Where the requests of one host and path prefix go, and under which terms.
+ * Assigns the requests of one host and path prefix to services, and sets their timeout, priority and retry rules.
  *
- * @param name its name
- * @param host the host that requests name
- * @param prefix what their paths begin with; begins and ends with a slash
- * @param kind what may be done with a request that has perhaps run
- * @param split the services that answer
- * @param timeoutMillis the longest time that a request is kept waiting for its whole answer, in milliseconds
- * @param targetLatencyMillis the time within which an answer is worth most, in milliseconds
- * @param priority its rank; 0 is the most urgent
- * @param maxAttempts the endpoints that one request may be sent to
- * @param anonymous whether requests need no key
- * @param promptAffinity whether requests say which parts their prompts share
- * @param allowedRegions the regions in which its requests may run; empty if that is everywhere
+ * @param name the name of the route
+ * @param host the host that requests must name
+ * @param prefix the prefix of the request paths; begins and ends with a slash
+ * @param kind whether a request that may already have run can be sent again, and whether the response is a stream
+ * @param split the services that handle the requests, with their weights
+ * @param timeoutMillis the maximum time until the response is complete, in milliseconds
+ * @param targetLatencyMillis the time within which a response should begin, in milliseconds
+ * @param priority the priority of the requests; 0 is the most urgent
+ * @param maxAttempts the maximum number of endpoints to which one request may be sent
+ * @param anonymous whether requests are accepted without an API key
+ * @param promptAffinity whether requests name the parts of their prompts that other prompts may share
+ * @param allowedRegions the regions in which requests may run; empty if all regions are allowed
  * @since 0.2.0
  */
 public record Route(
@@ -35,27 +35,27 @@
         boolean anonymous,
         boolean promptAffinity,
         Set<Region> allowedRegions) {
-    /** Takes a copy. */
+    /** Creates a route with a copy of the allowed regions. */
     public Route {
         allowedRegions = Set.copyOf(allowedRegions);
     }
 
     /**
-     * Starts a route.
+     * Returns a builder of a route.
      *
-     * @param name its name
+     * @param name the name of the route
      */
     public static Builder builder(String name) {
         return new Builder(name);
     }
 
     /**
-     * Builds a route.
+     * Builder of a {@link Route}.
      *
      * @since 0.2.0
      */
     public static final class Builder {
-        /** Used where a record names none: the longest that common clients wait. */
+        /** The timeout of a route that sets none, in milliseconds: common clients wait no longer. */
         private static final long DEFAULT_TIMEOUT_MILLIS = 30_000;
 
         private static final long DEFAULT_TARGET_MILLIS = 1_000;
@@ -77,62 +77,62 @@
             this.name = name;
         }
 
-        /** Sets the host and the path prefix. */
+        /** Sets the host and the path prefix that requests must have. */
         public Builder match(String newHost, String newPrefix) {
             this.host = newHost;
             this.prefix = newPrefix;
             return this;
         }
 
-        /** Sets what may be done with a request that has perhaps run. */
+        /** Sets whether a request that may already have run can be sent again, and whether the response is a stream. */
         public Builder kind(RequestKind newKind) {
             this.kind = newKind;
             return this;
         }
 
-        /** Sets the services that answer. */
+        /** Sets the services that handle the requests, with their weights. */
         public Builder split(TrafficSplit newSplit) {
             this.split = newSplit;
             return this;
         }
 
-        /** Sets the longest time that a request is kept waiting, in milliseconds. */
+        /** Sets the maximum time until the response is complete, in milliseconds. */
         public Builder timeoutMillis(long millis) {
             this.timeoutMillis = millis;
             return this;
         }
 
-        /** Sets the time within which an answer is worth most, in milliseconds. */
+        /** Sets the time within which a response should begin, in milliseconds. */
         public Builder targetLatencyMillis(long millis) {
             this.targetLatencyMillis = millis;
             return this;
         }
 
-        /** Sets the rank; 0 is the most urgent. */
+        /** Sets the priority of the requests; 0 is the most urgent. */
         public Builder priority(int newPriority) {
             this.priority = newPriority;
             return this;
         }
 
-        /** Sets the endpoints that one request may be sent to. */
+        /** Sets the maximum number of endpoints to which one request may be sent. */
         public Builder maxAttempts(int attempts) {
             this.maxAttempts = attempts;
             return this;
         }
 
-        /** Sets whether requests need no key. */
-        public Builder anonymous(boolean open) {
-            this.anonymous = open;
+        /** Sets whether requests are accepted without an API key. */
+        public Builder anonymous(boolean allowed) {
+            this.anonymous = allowed;
             return this;
         }
 
-        /** Sets whether requests say which parts their prompts share. */
+        /** Sets whether requests name the parts of their prompts that other prompts may share. */
         public Builder promptAffinity(boolean affinity) {
             this.promptAffinity = affinity;
             return this;
         }
 
-        /** Sets the regions in which requests may run; empty if that is everywhere. */
+        /** Sets the regions in which requests may run; empty if all regions are allowed. */
         public Builder allowedRegions(Set<Region> regions) {
             this.allowedRegions = regions;
             return this;
@@ -141,7 +141,7 @@
         /**
          * Returns the route.
          *
-         * @throws NullPointerException if no service was named
+         * @throws NullPointerException if no traffic split was set
          */
         public Route build() {
             return new Route(
@@ -149,7 +149,7 @@
                     host,
                     prefix,
                     kind,
-                    Objects.requireNonNull(split, "a route needs a service"),
+                    Objects.requireNonNull(split, "a route needs a traffic split"),
                     timeoutMillis,
                     targetLatencyMillis,
                     priority,
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/RoutingConfiguration.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/RoutingConfiguration.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration, whole and immutable.
+ * One complete, immutable version of the routing configuration: routes, services, workspaces and limits.
  *
  * @since 0.2.0
  */
@@ -29,25 +29,25 @@
     }
 
     /**
-     * Starts a configuration.
+     * Returns a builder of a configuration.
      *
-     * @param version its version; a higher one replaces a lower one
+     * @param version the version of the configuration; a higher version replaces a lower one
      */
     public static Builder builder(long version) {
         return new Builder(version);
     }
 
-    /** Returns its version; a higher one replaces a lower one. */
+    /** Returns the version of the configuration; a higher version replaces a lower one. */
     public long version() {
         return version;
     }
 
-    /** Returns what callers may send. */
+    /** Returns the size and time limits for callers. */
     public CallerLimits limits() {
         return limits;
     }
 
-    /** Tells whether requests need a key unless their route says otherwise. */
+    /** Tells whether requests need an API key, unless their route accepts anonymous requests. */
     public boolean keysRequired() {
         return keysRequired;
     }
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Finds the route of a request: that of its host with the longest prefix that begins its path.
+     * Finds the route of a request: among the routes of the host, the one with the longest matching path prefix.
      *
-     * @param host the host without a port, in any case
+     * @param host the host without a port, in upper or lower case
      * @param path the path without a query
      */
     public Optional<Route> route(String host, String path) {
@@ -78,25 +78,25 @@
     }
 
     /**
-     * Finds a service.
+     * Finds a service by its name.
      *
-     * @param name its name
+     * @param name the name of the service
      */
     public Optional<ServiceSpec> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Finds the workspace that holds a key.
+     * Finds the workspace to which an API key belongs.
      *
-     * @param key the key
+     * @param key the API key
      */
     public Optional<Workspace> workspace(String key) {
         return Optional.ofNullable(workspacesByKey.get(key));
     }
 
     /**
-     * Builds a configuration.
+     * Builder of a {@link RoutingConfiguration}.
      *
      * @since 0.2.0
      */
@@ -112,7 +112,7 @@
             this.version = version;
         }
 
-        /** Adds a route. */
+        /** Adds a route; replaces one with the same host and prefix. */
         public Builder route(Route route) {
             routesByHost
                     .computeIfAbsent(route.host().toLowerCase(Locale.ROOT), host -> new HashMap<>())
@@ -120,26 +120,26 @@
             return this;
         }
 
-        /** Adds a service. */
+        /** Adds a service; replaces one with the same name. */
         public Builder service(ServiceSpec service) {
             services.put(service.name(), service);
             return this;
         }
 
-        /** Adds a workspace with its keys; from then on requests need a key. */
+        /** Adds a workspace with its API keys, and makes API keys mandatory. */
         public Builder workspace(Workspace workspace, List<String> keys) {
             keysRequired = true;
             keys.forEach(key -> workspacesByKey.put(key, workspace));
             return this;
         }
 
-        /** Requires keys although no workspace may hold one. */
+        /** Makes API keys mandatory, even if the configuration has no workspace. */
         public Builder requireKeys() {
             keysRequired = true;
             return this;
         }
 
-        /** Sets what callers may send. */
+        /** Sets the size and time limits for callers. */
         public Builder limits(CallerLimits newLimits) {
             this.limits = newLimits;
             return this;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/ServiceSpec.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/ServiceSpec.java
@@ -4,13 +4,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A service: endpoints that answer the same requests.
+ * Describes a service: a group of endpoints that handle the same requests.
  *
- * @param name its name
- * @param healthPath the path that tells of an endpoint's health
- * @param maxConnections the connections that one endpoint accepts from all routers together
- * @param engineSpec what its engines can take, or null for a plain service
- * @param coldStartSpec what its endpoints bear shortly after their start, or null if that is no less than later
+ * @param name the name of the service
+ * @param healthPath the path of an endpoint's health check
+ * @param maxConnections the number of connections that one endpoint accepts from all routers together
+ * @param engineSpec the capacity of each model engine, or null for a plain service, which has no engines
+ * @param coldStartSpec the warm-up of the endpoints, or null if they have their full capacity from the start
  * @since 0.2.0
  */
 public record ServiceSpec(
@@ -19,17 +19,17 @@
         int maxConnections,
         @Nullable EngineSpec engineSpec,
         @Nullable ColdStart coldStartSpec) {
-    /** Creates a service whose endpoints bear the same from their start on. */
+    /** Creates a service whose endpoints need no warm-up. */
     public ServiceSpec(String name, String healthPath, int maxConnections, @Nullable EngineSpec engineSpec) {
         this(name, healthPath, maxConnections, engineSpec, null);
     }
 
-    /** Returns what its engines can take; empty for a plain service. */
+    /** Returns the capacity of each model engine; empty for a plain service. */
     public Optional<EngineSpec> engine() {
         return Optional.ofNullable(engineSpec);
     }
 
-    /** Returns what its endpoints bear shortly after their start; empty if that is no less than later. */
+    /** Returns the warm-up of the endpoints; empty if they have their full capacity from the start. */
     public Optional<ColdStart> coldStart() {
         return Optional.ofNullable(coldStartSpec);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/TrafficSplit.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/TrafficSplit.java
@@ -3,13 +3,17 @@
 import java.util.List;
 
 /**
- * The services that share a route's requests.
+ * Distributes the requests of a route over services by weight.
  *
  * @param shares the services with their weights; at least one has a weight above 0
  * @since 0.2.0
  */
 public record TrafficSplit(List<Share> shares) {
-    /** Copies the shares. */
+    /**
+     * Creates a split with a copy of the shares.
+     *
+     * @throws IllegalArgumentException if no weight is above 0
+     */
     public TrafficSplit {
         shares = List.copyOf(shares);
         if (shares.stream().noneMatch(share -> share.weight() > 0)) {
@@ -18,18 +22,18 @@
     }
 
     /**
-     * Returns a split that sends everything to one service.
+     * Returns a split that sends all requests to one service.
      *
-     * @param service the service
+     * @param service the name of the service
      */
     public static TrafficSplit all(String service) {
         return new TrafficSplit(List.of(new Share(service, 1)));
     }
 
     /**
-     * Returns the service for a request; the same hash gives the same service while the split stays as it is.
+     * Returns the service for a request. While the split is unchanged, the same hash gives the same service.
      *
-     * @param hash a well mixed hash of what is to be split
+     * @param hash a uniformly distributed hash of the request
      */
     public String service(long hash) {
         double total = 0;
@@ -52,10 +56,10 @@
     }
 
     /**
-     * One service's part.
+     * The weight of one service in a split.
      *
-     * @param service the service
-     * @param weight its part relative to the other weights, 0 or more
+     * @param service the name of the service
+     * @param weight the weight relative to the sum of all weights, 0 or more
      * @since 0.2.0
      */
     public record Share(String service, double weight) {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration of routed requests, as the operator last published it.
+ * The routing configuration that the operator publishes: routes, services, workspaces and limits.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/retry/SharedRetryBudget.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/retry/SharedRetryBudget.java
@@ -4,24 +4,25 @@
 import java.util.Map;
 
 /**
- * This router's share of the retry budget of each service. Belongs to the traffic thread.
+ * Limits the retries that this router sends to each service to its share of the fleet's retry budget. Confined to the
+ * traffic thread.
  *
- * <p>The fleet may send again a fraction of the requests of a sliding window, and a fixed number beyond. Each router
- * takes the fraction of its own requests, and an equal share of the fixed number by the routers that are registered, not
- * by those that it reaches: a partition must not make the shares larger. Both are taken with a margin, because a router
- * that restarts forgets what it has spent.
+ * <p>The fleet may retry a fraction of the requests of a sliding window, plus a fixed number. Each router uses the
+ * fraction of its own requests, and an equal share of the fixed number. The number of shares is the number of
+ * registered routers rather than of reachable ones, so that a network partition does not enlarge the shares. Both
+ * limits are used with a safety margin, because a router that restarts forgets the retries that it has sent.
  *
  * @since 0.2.0
  */
 public final class SharedRetryBudget {
-    /** Part of the fraction that is used; the rest covers windows that cut the traffic elsewhere. */
-    private static final double RATIO_MARGIN = 0.8;
+    /** The used part of the fraction; the rest covers windows that begin and end at other times than this router's. */
+    private static final double RATIO_SAFETY_FACTOR = 0.8;
 
-    /** Part of the fixed number that is used in the long run. */
-    private static final double EXTRA_MARGIN = 0.65;
+    /** The used part of the fixed number after the first window. */
+    private static final double EXTRA_SAFETY_FACTOR = 0.65;
 
-    /** Part of the fixed number that is used in the first window after a start, when earlier spending is forgotten. */
-    private static final double EXTRA_MARGIN_AT_START = 0.3;
+    /** The used part of the fixed number in the first window after a start, when earlier retries are unknown. */
+    private static final double EXTRA_SAFETY_FACTOR_AT_START = 0.3;
 
     private static final int BUCKETS = 20;
 
@@ -31,9 +32,9 @@
     private int routers = 1;
 
     /**
-     * Creates a budget.
+     * Creates a budget of a router that knows of no other router.
      *
-     * @param allowance what the fleet may send again
+     * @param allowance the retries that the fleet may send
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public SharedRetryBudget(RetryAllowance allowance, long nowMillis) {
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Takes over a new allowance.
+     * Replaces the allowance. A change of the window length discards all counts.
      *
-     * @param newAllowance what the fleet may send again
+     * @param newAllowance the retries that the fleet may send
      */
     public void allowance(RetryAllowance newAllowance) {
         if (newAllowance.windowMillis() != allowance.windowMillis()) {
@@ -54,19 +55,19 @@
     }
 
     /**
-     * Takes over the number of routers. While it is not known, nothing is taken of the fixed number: all routers may have
-     * started together, and each would take the whole.
+     * Sets the number of routers. While the number is unknown, this router uses nothing of the fixed number: all
+     * routers may have started together, and each would use the whole number.
      *
-     * @param registered the routers that are registered, this one included; 0 if that is not known
+     * @param registered the number of registered routers, including this router; 0 if unknown
      */
     public void routers(int registered) {
         this.routers = registered;
     }
 
     /**
-     * Counts a caller's request.
+     * Counts a request from a caller.
      *
-     * @param service the service that it goes to
+     * @param service the service that handles the request
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void requested(String service, long nowMillis) {
@@ -74,18 +75,19 @@
     }
 
     /**
-     * Takes one request out of the budget if it allows.
+     * Takes one retry out of the budget if the budget allows a retry now.
      *
-     * @param service the service that the request is sent to again
+     * @param service the service to which the request would be sent again
      * @param nowMillis the time on the monotonic clock, in milliseconds
+     * @return whether the retry is allowed
      */
     public boolean trySpend(String service, long nowMillis) {
         Window window = window(service).advance(nowMillis);
-        double limit = allowance.ratio() * RATIO_MARGIN * sum(window.requests) + extraShare(nowMillis);
-        if (sum(window.spent) + 1 > limit) {
+        double limit = allowance.ratio() * RATIO_SAFETY_FACTOR * sum(window.requests) + extraShare(nowMillis);
+        if (sum(window.retries) + 1 > limit) {
             return false;
         }
-        window.spent[window.current]++;
+        window.retries[window.current]++;
         return true;
     }
 
@@ -93,8 +95,8 @@
         if (routers <= 0) {
             return 0;
         }
-        boolean fresh = nowMillis - startedAtMillis < allowance.windowMillis();
-        return allowance.extra() * (fresh ? EXTRA_MARGIN_AT_START : EXTRA_MARGIN) / routers;
+        boolean firstWindow = nowMillis - startedAtMillis < allowance.windowMillis();
+        return allowance.extra() * (firstWindow ? EXTRA_SAFETY_FACTOR_AT_START : EXTRA_SAFETY_FACTOR) / routers;
     }
 
     private Window window(String service) {
@@ -109,11 +111,11 @@
         return sum;
     }
 
-    /** Counts over the last window, in buckets. */
+    /** Sliding window that counts requests and retries in buckets. */
     private static final class Window {
         private final long bucketMillis;
         private final int[] requests = new int[BUCKETS];
-        private final int[] spent = new int[BUCKETS];
+        private final int[] retries = new int[BUCKETS];
         private long currentBucket = Long.MIN_VALUE;
         private int current;
 
@@ -130,7 +132,7 @@
             for (long step = 0; step < steps; step++) {
                 current = (current + 1) % BUCKETS;
                 requests[current] = 0;
-                spent[current] = 0;
+                retries[current] = 0;
             }
             currentBucket = Math.max(currentBucket, bucket);
             return this;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/retry/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/retry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The retry budget that all routers share.
+ * The retry budget of each service, which all routers of the fleet share.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/config/RoutingConfigurationTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/config/RoutingConfigurationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks how a request finds its route and its workspace. */
+/** Tests the lookup of routes and workspaces, and the distribution of requests by a traffic split. */
 final class RoutingConfigurationTest {
     private final RoutingConfiguration configuration = RoutingConfiguration.builder(3)
             .route(route("all", "/"))
@@ -28,24 +28,24 @@
         "/, all",
         "/other/path, all"
     })
-    void theLongestPrefixThatBeginsThePathWins(String path, String route) {
+    void theRouteWithTheLongestMatchingPrefixIsFound(String path, String route) {
         assertThat(configuration.route("API.example", path).map(Route::name)).isEqualTo(Optional.of(route));
     }
 
     @Test
-    void anotherHostHasNoRoutes() {
+    void anUnknownHostHasNoRoute() {
         assertThat(configuration.route("other.example", "/orders/")).isEqualTo(Optional.empty());
     }
 
     @Test
-    void eachKeyLeadsToItsWorkspace() {
+    void eachKeyBelongsToItsWorkspace() {
         assertThat(configuration.workspace("key-2").map(Workspace::name)).isEqualTo(Optional.of("mill"));
         assertThat(configuration.workspace("key-3")).isEqualTo(Optional.empty());
         assertThat(configuration.keysRequired()).isTrue();
     }
 
     @Test
-    void aSplitSharesByWeightAndKeepsARequestWhereItIs() {
+    void aSplitDistributesByWeightAndAlwaysMapsAHashToTheSameService() {
         TrafficSplit split =
                 new TrafficSplit(List.of(new TrafficSplit.Share("old", 90), new TrafficSplit.Share("new", 10)));
         int old = 0;
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aServiceWithoutWeightGetsNothing() {
+    void aServiceWithWeightZeroGetsNoRequests() {
         TrafficSplit split =
                 new TrafficSplit(List.of(new TrafficSplit.Share("on", 1), new TrafficSplit.Share("off", 0)));
         assertThat(split.service(-1)).isEqualTo("on");
--- a/radishpass-routing/src/test/java/org/radishpass/routing/retry/SharedRetryBudgetTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/retry/SharedRetryBudgetTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that all routers' shares together stay within the fleet's budget. */
+/** Tests that the retries of all routers together stay within the budget of the fleet. */
 final class SharedRetryBudgetTest {
     private static final RetryAllowance ALLOWANCE = new RetryAllowance(0.2, 54, 10_000);
     private static final String SERVICE = "orders";
 
     @Test
-    void theSharesOfAllRoutersStayWithinTheFleetsBudget() {
+    void theRetriesOfAllRoutersStayWithinTheBudgetOfTheFleet() {
         int spent = 0;
         int requests = 0;
         for (int router = 0; router < 7; router++) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whatWasSpentComesBackWhenTheWindowHasPassed() {
+    void spentRetriesAreAvailableAgainAfterTheWindow() {
         SharedRetryBudget budget = new SharedRetryBudget(new RetryAllowance(0, 10, 10_000), -10_000);
         int first = spendAll(budget, 0);
         assertThat(first).isEqualTo(6);
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void aRouterThatHasJustStartedMayHaveSpentBefore() {
+    void theFirstWindowAfterAStartHasALargerSafetyMargin() {
         SharedRetryBudget budget = new SharedRetryBudget(new RetryAllowance(0, 10, 10_000), 0);
         assertThat(spendAll(budget, 1)).isEqualTo(3);
     }
 
     @Test
-    void whileTheOtherRoutersAreNotKnownNothingIsTakenOfTheFixedNumber() {
+    void theFixedNumberIsNotUsedWhileTheNumberOfRoutersIsUnknown() {
         SharedRetryBudget budget = new SharedRetryBudget(new RetryAllowance(0, 54, 10_000), 0);
         budget.routers(0);
         assertThat(spendAll(budget, 1)).isEqualTo(0);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void servicesHaveBudgetsOfTheirOwn() {
+    void eachServiceHasItsOwnBudget() {
         SharedRetryBudget budget = new SharedRetryBudget(new RetryAllowance(0, 10, 10_000), -10_000);
         spendAll(budget, 0);
         assertThat(budget.trySpend("other", 0)).isTrue();
