--- a/radishpass-routing/src/main/java/org/radishpass/routing/event/LogEvent.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/event/LogEvent.java
@@ -4,8 +4,8 @@
 import net.logstash.logback.argument.StructuredArguments;
 
 /**
- * The events that a router writes to its log; the field {@value #FIELD} of a line holds the name. docs/OPERATIONS.md lists
- * them, and a test holds the page to this list.
+ * The events that a router writes to its log. The field {@value #FIELD} of a log line holds the name of the event.
+ * docs/OPERATIONS.md lists all events, and a test compares that page with this list.
  *
  * @since 0.2.0
  */
@@ -105,7 +105,7 @@
     /** See {@link #meaning}. */
     LOG_SUPPRESSED("log-suppressed", "lines that were left out in the second before, to keep the volume bounded");
 
-    /** The field that holds the name of the event. */
+    /** The field of a log line that holds the name of the event. */
     public static final String FIELD = "event";
 
     private final String text;
@@ -116,17 +116,17 @@
         this.meaning = meaning;
     }
 
-    /** Returns the name as it is written. */
+    /** Returns the name of the event as written in the log. */
     public String text() {
         return text;
     }
 
-    /** Returns what the event says, for people. */
+    /** Returns the description of the event, as printed in docs/OPERATIONS.md. */
     public String meaning() {
         return meaning;
     }
 
-    /** Returns the event as an argument of a log line. */
+    /** Returns the structured argument that adds the event's name to a log line. */
     public StructuredArgument field() {
         return StructuredArguments.kv(FIELD, text);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/event/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/event/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The events that a router writes to its log.
+ * The events that a router writes to its log, with their names and descriptions.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/ColdStartShares.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/ColdStartShares.java
@@ -9,45 +9,49 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * This router's part of what an endpoint that has just started is given by all. A few routers are responsible for each endpoint, by
- * rendezvous, and each of them has an equal part of the allowance; the others send it nothing until it is warm. So the limit holds
- * without a word between routers, while some of them are cut off, and in fleets of any size. A router that does not know its fleet is
- * responsible for none.
+ * Limits the requests that this router sends to each endpoint that is warming up to its share of the fleet's allowance.
  *
- * <p>Belongs to the traffic thread.
+ * <p>Rendezvous hashing makes a few routers responsible for each endpoint. Each responsible router has an equal share
+ * of the allowance. All other routers send the endpoint nothing until its warm-up is over. The limit therefore holds
+ * without messages between routers, while some of them are disconnected, and for any size of the fleet. A router that
+ * does not know the members of its fleet is responsible for no endpoint.
+ *
+ * <p>Confined to the traffic thread.
  *
  * @since 0.6.0
  */
 public final class ColdStartShares {
-    /** Routers that are responsible for one endpoint: enough that it is used although some of them are down or idle. */
-    static final int RESPONSIBLE = 4;
+    /** The number of routers responsible for one endpoint: enough to use the endpoint while some are down or idle. */
+    static final int MAX_RESPONSIBLE_ROUTERS = 4;
 
-    /** Milliseconds in which a part may be used once: a second, and what the ways of two requests may differ by. */
+    /**
+     * The time in which a share may be used once, in milliseconds: a second, and the jitter of two requests' transit.
+     */
     static final long WINDOW_MILLIS = 1_100;
 
     private final Map<String, Deque<Long>> sentAtMillis = new HashMap<>();
     private ColdStartAllowance allowance = ColdStartAllowance.DEFAULT;
 
     /**
-     * Takes over what all routers together may send.
+     * Replaces the allowance of the fleet.
      *
-     * @param newAllowance the allowance
+     * @param newAllowance the requests that all routers together may send to an endpoint that is warming up
      */
     public void allowance(ColdStartAllowance newAllowance) {
         this.allowance = newAllowance;
     }
 
     /**
-     * Tells whether this router may send a request now to an endpoint that has just started.
+     * Tells whether this router may send a request now to an endpoint that is warming up.
      *
      * @param endpoint the endpoint
-     * @param coldStart what it bears
+     * @param coldStart the warm-up of the endpoint
      * @param members the routers of the fleet
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public boolean admits(ServiceEndpoint endpoint, ColdStart coldStart, FleetMembers members, long nowMillis) {
         int planned = (int) Math.floor(allowance.planned(coldStart));
-        int responsible = Math.min(RESPONSIBLE, Math.min(planned, members.count()));
+        int responsible = Math.min(MAX_RESPONSIBLE_ROUTERS, Math.min(planned, members.count()));
         if (!members.responsible(endpoint.hash(), responsible)) {
             return false;
         }
@@ -62,7 +66,7 @@
     }
 
     /**
-     * Notes that a request was sent to an endpoint that has just started.
+     * Counts a request that was sent to an endpoint that is warming up.
      *
      * @param endpoint the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
@@ -72,7 +76,7 @@
     }
 
     /**
-     * Forgets what was sent longer ago than matters.
+     * Removes the endpoints to which nothing was sent within the last window.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightBook.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightBook.java
@@ -8,48 +8,49 @@
 import org.radishpass.peer.message.WorkScope;
 
 /**
- * The work in flight at each endpoint: this router's own, and what its peers told last.
+ * Tracks the work in flight at each endpoint: this router's own work, and the work that its peers last reported.
  *
- * <p>Belongs to the traffic thread. A peer that has not been heard of for a while counts as having nothing in flight: it
- * may be cut off or gone, and its old figures would keep endpoints out of use.
+ * <p>Confined to the traffic thread. A peer that has not reported for {@link #PEER_REPORT_VALID_MILLIS} counts as
+ * having nothing in flight: the peer may be disconnected or gone, and its outdated counts would keep endpoints out of
+ * use.
  *
  * @since 0.2.0
  */
 public final class InFlightBook {
-    /** Milliseconds without word from a peer until its work no longer counts: six missed messages. */
-    public static final long PEER_MEMORY_MILLIS = 3_000;
+    /** The time for which a peer's report counts, in milliseconds: six missed messages. */
+    public static final long PEER_REPORT_VALID_MILLIS = 3_000;
 
-    /** Milliseconds for which the word on all others' work makes that of single groups needless: five messages. */
-    static final long COVERED_MILLIS = 1_000;
+    /** The time for which a report on all other groups overrides reports of single groups, in ms: five messages. */
+    static final long OTHERS_REPORT_VALID_MILLIS = 1_000;
 
     private final Map<String, InFlight> own = new HashMap<>();
     private final Map<String, InFlight> total = new HashMap<>();
-    private final Map<String, PeerWork> peers = new HashMap<>();
+    private final Map<String, PeerWork> reportsByPeer = new HashMap<>();
     private final Set<String> changed = new HashSet<>();
-    private long coveredUntilMillis = Long.MIN_VALUE;
+    private long othersReportValidUntilMillis = Long.MIN_VALUE;
 
     /**
-     * Counts a request that is about to be sent.
+     * Adds a request that is about to be sent.
      *
      * @param endpointId the endpoint
-     * @param tokens its prompt tokens and the most tokens that it may generate
+     * @param tokens the sum of the request's prompt tokens and of its maximum output tokens
      */
     public void started(String endpointId, long tokens) {
-        add(endpointId, new InFlight(1, tokens));
+        addOwn(endpointId, new InFlight(1, tokens));
     }
 
     /**
-     * Counts a request that has ended, however it did.
+     * Subtracts a request that has ended, with or without a response.
      *
      * @param endpointId the endpoint
-     * @param tokens the tokens that were counted at its start
+     * @param tokens the tokens that were added at its start
      */
     public void ended(String endpointId, long tokens) {
-        add(endpointId, new InFlight(-1, -tokens));
+        addOwn(endpointId, new InFlight(-1, -tokens));
     }
 
     /**
-     * Returns all work known to be in flight at an endpoint.
+     * Returns the work in flight at an endpoint, of this router and of its peers.
      *
      * @param endpointId the endpoint
      */
@@ -66,12 +67,12 @@
         return own.getOrDefault(endpointId, InFlight.NONE);
     }
 
-    /** Returns this router's own work at every endpoint that has some. */
+    /** Returns this router's own work in flight, by endpoint; endpoints without such work are absent. */
     public Map<String, InFlight> ownWork() {
         return Map.copyOf(own);
     }
 
-    /** Returns what has changed in this router's own work since the last call. */
+    /** Returns this router's own work at the endpoints where the work has changed since the last call, by endpoint. */
     public Map<String, InFlight> takeChanges() {
         Map<String, InFlight> changes = new HashMap<>();
         changed.forEach(id -> changes.put(id, ownAt(id)));
@@ -79,85 +80,87 @@
         return changes;
     }
 
-    /** Returns this router's own work and that which members of its group told it. */
+    /**
+     * Returns the sum of this router's own work and of the work that the members of its group reported, by endpoint.
+     */
     public Map<String, InFlight> groupWork() {
         Map<String, InFlight> group = new HashMap<>(own);
-        peers.values().stream()
-                .filter(peer -> peer.scope == WorkScope.MEMBER)
-                .forEach(peer -> peer.work.forEach((endpointId, amount) -> addTo(group, endpointId, amount)));
+        reportsByPeer.values().stream()
+                .filter(report -> report.scope == WorkScope.MEMBER)
+                .forEach(report -> report.work.forEach((endpointId, amount) -> addTo(group, endpointId, amount)));
         return group;
     }
 
     /**
-     * Returns all work that is known, but for what one peer told.
+     * Returns all known work except the work that one peer reported, by endpoint.
      *
      * @param peerId the peer
      */
     public Map<String, InFlight> workWithout(String peerId) {
         Map<String, InFlight> others = new HashMap<>(total);
-        PeerWork peer = peers.get(peerId);
-        if (peer != null) {
-            peer.work.forEach((endpointId, amount) -> addTo(others, endpointId, InFlight.NONE.minus(amount)));
+        PeerWork report = reportsByPeer.get(peerId);
+        if (report != null) {
+            report.work.forEach((endpointId, amount) -> addTo(others, endpointId, InFlight.NONE.minus(amount)));
         }
         return others;
     }
 
     /**
-     * Takes what a peer tells of work; it replaces what that peer told before.
+     * Stores a peer's report, which replaces the peer's previous report.
      *
      * @param peerId the peer
-     * @param scope whose work it is; that of all others replaces what any leader told
+     * @param scope the routers whose work is reported; a report on all others replaces the reports of all group leaders
      * @param work the work by endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, long nowMillis) {
-        if (scope == WorkScope.GROUP && nowMillis < coveredUntilMillis) {
+        if (scope == WorkScope.GROUP && nowMillis < othersReportValidUntilMillis) {
             return;
         }
         if (scope == WorkScope.OTHERS) {
-            coveredUntilMillis = nowMillis + COVERED_MILLIS;
-            forgetAll(peer -> peer.scope.leads());
+            othersReportValidUntilMillis = nowMillis + OTHERS_REPORT_VALID_MILLIS;
+            removeReports(report -> report.scope.leads());
         } else if (scope == WorkScope.GROUP) {
-            forgetAll(peer -> peer.scope == WorkScope.OTHERS);
+            removeReports(report -> report.scope == WorkScope.OTHERS);
         }
-        forget(peerId);
-        peers.put(peerId, new PeerWork(scope, Map.copyOf(work), nowMillis));
-        work.forEach(this::addTotal);
+        removeReport(peerId);
+        reportsByPeer.put(peerId, new PeerWork(scope, Map.copyOf(work), nowMillis));
+        work.forEach(this::addToTotal);
     }
 
     /**
-     * Forgets the work of peers that have not been heard of for {@link #PEER_MEMORY_MILLIS}.
+     * Removes the reports of peers that have not reported for {@link #PEER_REPORT_VALID_MILLIS}.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void forgetSilentPeers(long nowMillis) {
-        forgetAll(peer -> nowMillis - peer.heardAtMillis > PEER_MEMORY_MILLIS);
+        removeReports(report -> nowMillis - report.receivedAtMillis > PEER_REPORT_VALID_MILLIS);
     }
 
-    private void forgetAll(Predicate<PeerWork> unwanted) {
+    private void removeReports(Predicate<PeerWork> unwanted) {
         Set<String> ids = new HashSet<>();
-        peers.forEach((id, peer) -> {
-            if (unwanted.test(peer)) {
+        reportsByPeer.forEach((id, report) -> {
+            if (unwanted.test(report)) {
                 ids.add(id);
             }
         });
-        ids.forEach(this::forget);
+        ids.forEach(this::removeReport);
     }
 
-    private void forget(String peerId) {
-        PeerWork peer = peers.remove(peerId);
-        if (peer != null) {
-            peer.work.forEach((endpointId, amount) -> addTotal(endpointId, InFlight.NONE.minus(amount)));
+    private void removeReport(String peerId) {
+        PeerWork report = reportsByPeer.remove(peerId);
+        if (report != null) {
+            report.work.forEach((endpointId, amount) -> addToTotal(endpointId, InFlight.NONE.minus(amount)));
         }
     }
 
-    private void add(String endpointId, InFlight amount) {
+    private void addOwn(String endpointId, InFlight amount) {
         addTo(own, endpointId, amount);
-        addTotal(endpointId, amount);
+        addToTotal(endpointId, amount);
         changed.add(endpointId);
     }
 
-    private void addTotal(String endpointId, InFlight amount) {
+    private void addToTotal(String endpointId, InFlight amount) {
         addTo(total, endpointId, amount);
     }
 
@@ -168,6 +171,6 @@
         });
     }
 
-    /** What one peer told. */
-    private record PeerWork(WorkScope scope, Map<String, InFlight> work, long heardAtMillis) {}
+    /** The last report of one peer. */
+    private record PeerWork(WorkScope scope, Map<String, InFlight> work, long receivedAtMillis) {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/LoadLimit.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/LoadLimit.java
@@ -4,29 +4,31 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * How much work an endpoint may hold, relative to the mean of its service.
+ * Limits the requests in flight at an endpoint relative to the mean over the endpoints of its service.
  *
  * @param factor the multiple of the mean that is allowed
- * @param slack requests allowed beyond that, so that a nearly idle service does not spread its prompts
+ * @param slack the requests allowed in addition, so that a nearly idle service keeps equal prompts together
  * @since 0.2.0
  */
 public record LoadLimit(double factor, double slack) {
     /**
-     * The limit for chats. Deployments require twice the mean and three requests; reports of peers lag by a tenth of a
-     * second, so that placement keeps well below.
+     * The limit for requests that are placed by their prompts, relative to the candidate endpoints. Deployments require
+     * at most twice the mean plus three requests. This limit is lower because the reports of peers lag by 100 ms.
      */
-    public static final LoadLimit CHATS = new LoadLimit(1.6, 2);
+    public static final LoadLimit PROMPT_AFFINITY = new LoadLimit(1.6, 2);
 
     /**
-     * The limit against the mean of all endpoints of a service while some of them get nothing new, because their data centre is drained or
-     * they have just started: the mean that deployments require counts these too. It binds once an eighth of them get nothing.
+     * The limit for requests that are placed by their prompts, relative to all endpoints of a service. Some of these
+     * may receive no new requests because their data centre is drained or because they are warming up. The mean in the
+     * requirement of the deployments includes these endpoints. This limit is the stricter one as soon as one eighth of
+     * the endpoints receive no requests.
      */
-    public static final LoadLimit WHOLE_SERVICE = new LoadLimit(1.8, 2);
+    public static final LoadLimit PROMPT_AFFINITY_WHOLE_SERVICE = new LoadLimit(1.8, 2);
 
     /**
-     * Returns the most requests that an endpoint may hold before it is given another one.
+     * Returns the maximum number of requests in flight at one endpoint, including a request that is about to be placed.
      *
-     * @param endpoints the endpoints that share the work
+     * @param endpoints the endpoints over which the mean is taken
      * @param book the work in flight
      */
     public double requests(List<ServiceEndpoint> endpoints, InFlightBook book) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/QueueLimit.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/QueueLimit.java
@@ -1,33 +1,36 @@
 package org.radishpass.routing.load;
 
 /**
- * How much work may be in flight at one endpoint before a request is rather refused than sent there to wait.
+ * Limits the requests in flight at one endpoint. Above the limit a request is refused instead of queued at the
+ * endpoint.
  *
  * @since 0.4.0
  */
 public enum QueueLimit {
-    /** Engines: a few beside their slots, since the reports of peers lag by that much. */
+    /** Limit of model engines: the slots plus a few requests, since the reports of peers lag by about as many. */
     ENGINE {
         @Override
         public double requests(int slots) {
-            return slots + ENGINE_QUEUE;
+            return slots + ENGINE_QUEUED_REQUESTS;
         }
     },
-    /** Plain services: those that wait take two turns at most, which is far below their latency target. */
+    /**
+     * Limit of plain services: a queued request waits for at most two others per slot, far below the latency target.
+     */
     PLAIN {
         @Override
         public double requests(int slots) {
-            return slots * PLAIN_QUEUE_FACTOR;
+            return slots * PLAIN_REQUESTS_PER_SLOT;
         }
     };
 
-    private static final int ENGINE_QUEUE = 4;
-    private static final double PLAIN_QUEUE_FACTOR = 2.5;
+    private static final int ENGINE_QUEUED_REQUESTS = 4;
+    private static final double PLAIN_REQUESTS_PER_SLOT = 2.5;
 
     /**
-     * Returns the requests in flight from which on no more are sent.
+     * Returns the number of requests in flight at which the endpoint is sent no further request.
      *
-     * @param slots the requests that the endpoint runs at once
+     * @param slots the number of requests that the endpoint runs concurrently
      */
     public abstract double requests(int slots);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/SpareRoom.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/SpareRoom.java
@@ -4,21 +4,25 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * Whether endpoints can take over work from others. Where they cannot, slowness is the load's, and sending requests elsewhere
- * only adds to it: in simulated overload, endpoints that were left out for it cost up to 20 in 100 answers in time.
+ * Tells whether endpoints have spare capacity to take over work from other endpoints. Without spare capacity, slow
+ * responses are due to the load, and sending requests elsewhere increases the load further: in simulations of an
+ * overload, ejecting slow endpoints made up to 20 % of the responses late.
  *
  * @since 0.4.0
  */
 public final class SpareRoom {
-    /** The part of the slots up to which there is room: plain services seldom queue, and steps of engines are short. */
-    private static final double PART_OF_SLOTS = 0.5;
+    /**
+     * The fraction of used slots below which there is spare capacity. Below it, requests to plain services seldom
+     * queue, and the steps of engines are short.
+     */
+    private static final double MAX_USED_SLOT_FRACTION = 0.5;
 
     private SpareRoom() {
         // static methods only
     }
 
     /**
-     * Tells whether endpoints have room.
+     * Tells whether a group of endpoints has spare capacity.
      *
      * @param endpoints the endpoints
      * @param book the work in flight
@@ -30,6 +34,6 @@
             slots += endpoint.slots();
             requests += book.at(endpoint.id()).requests();
         }
-        return requests < PART_OF_SLOTS * slots;
+        return requests < MAX_USED_SLOT_FRACTION * slots;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkReport.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkReport.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * What the traffic thread has to tell other routers at one moment.
+ * The work in flight and the failing endpoints that the traffic thread reports to other routers.
  *
  * @param own this router's own work, by endpoint
- * @param group this router's work, and that of the members of its group, by endpoint
- * @param withoutMember for each member, all work that is known but for its own
- * @param failing the endpoints that this router, or a member of its group, has seen to fail too often
- * @param allFailing those, and the ones that other groups told of
+ * @param group the sum of this router's work and of the work of the members of its group, by endpoint
+ * @param withoutMember for each member, all known work except the member's own, by endpoint
+ * @param failing the endpoints that fail too often, as seen by this router or by a member of its group
+ * @param allFailing the endpoints that fail too often, as seen by any router
  * @since 0.3.0
  */
 public record WorkReport(
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkSource.java
@@ -6,28 +6,28 @@
 import org.radishpass.peer.message.WorkScope;
 
 /**
- * The traffic side as its control side sees it: what is in flight here, and what peers say of theirs.
+ * Interface of the traffic thread to the control thread for exchanging reports of the work in flight with peers.
  *
  * @since 0.4.0
  */
 public interface WorkSource {
     /**
-     * Takes what a peer tells of its work.
+     * Stores a peer's report.
      *
      * @param peerId the peer
-     * @param scope whose work it is
+     * @param scope the routers whose work is reported
      * @param work the work by endpoint
-     * @param failing the endpoints that were seen to fail too often
+     * @param failing the endpoints that fail too often
      */
     void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing);
 
     /**
-     * Gives what other routers are to be told, when there are members to tell it to or this router's own work has changed
-     * since the last call.
+     * Passes a report for other routers to a consumer if the group has other members or if this router's own work has
+     * changed since the last call.
      *
      * @param members the peers whose work this router gathers
-     * @param always whether it is wanted even if nothing has changed
-     * @param taker takes it; called on the traffic thread
+     * @param always whether a report is made even if nothing has changed
+     * @param consumer receives the report on the traffic thread
      */
-    void workReport(List<String> members, boolean always, Consumer<WorkReport> taker);
+    void workReport(List<String> members, boolean always, Consumer<WorkReport> consumer);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Work in flight at each endpoint, over all routers.
+ * Load of the endpoints: the work in flight, summed over all routers, and the limits that depend on it.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/EndpointChooser.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/EndpointChooser.java
@@ -11,88 +11,101 @@
 import org.radishpass.routing.load.LoadLimit;
 
 /**
- * Chooses the endpoint of a request. Belongs to the traffic thread.
+ * Chooses the endpoint of a request. Confined to the traffic thread.
  *
- * <p>Requests that share the parts of their prompts meet at the same endpoint by rendezvous on these parts, so that
- * routers agree without a word; an endpoint above the load limit is passed over for the next in rank, which is told where
- * it can fetch the prompt's cache from. Other requests go where the least work is in flight.
+ * <p>Requests whose prompts have the same shared parts go to the same endpoint, by rendezvous hashing of these parts.
+ * Routers thus agree without exchanging messages. An endpoint that has reached the load limit is skipped for the next
+ * in the rendezvous ranking, which is told from which endpoint to fetch the cached prompt. All other requests go to the
+ * endpoint with the fewest requests in flight per slot.
  *
  * @since 0.2.0
  */
 public final class EndpointChooser {
-    /** What another data centre weighs, in requests: it decides among endpoints that are equally full. */
-    private static final double DISTANCE_COST = 0.5;
+    /** The cost of another data centre, in requests in flight: it decides among equally loaded endpoints. */
+    private static final double REMOTE_DATA_CENTRE_COST = 0.5;
 
-    /** What chance weighs, in requests: it decides only among equals. */
-    private static final double CHANCE_COST = 0.25;
+    /**
+     * The maximum of the random cost, in requests in flight: it decides only among endpoints of otherwise equal cost.
+     */
+    private static final double MAX_RANDOM_COST = 0.25;
 
-    /** Routers up to which everyone tells everyone, so that the least loaded endpoint of all is known well enough. */
-    private static final int SURE_ROUTERS = 16;
+    /**
+     * The maximum number of routers with which all candidates are compared. Up to it, every router reports its work to
+     * every other, so that the least loaded endpoint is known well enough.
+     */
+    private static final int MAX_ROUTERS_FOR_FULL_SCAN = 16;
 
-    private static final double UNIT = 0x1.0p-53;
+    private static final double UNIT_INTERVAL_SCALE = 0x1.0p-53;
     private static final int UNUSED_BITS = 11;
 
     private final InFlightBook book;
-    private final DataCentre home;
-    private final PromptMemory memory = new PromptMemory();
+    private final DataCentre localDataCentre;
+    private final PromptPlacementHistory promptHistory = new PromptPlacementHistory();
 
     /**
-     * Creates a chooser.
+     * Creates a chooser without a history of prompts.
      *
      * @param book the work in flight
-     * @param home where this router stands; preferred among equals
+     * @param localDataCentre the data centre of this router, preferred among equally loaded endpoints
      */
-    public EndpointChooser(InFlightBook book, DataCentre home) {
+    public EndpointChooser(InFlightBook book, DataCentre localDataCentre) {
         this.book = book;
-        this.home = home;
+        this.localDataCentre = localDataCentre;
     }
 
     /**
-     * Chooses.
+     * Chooses the endpoint of a request; empty if there are no candidates.
      *
-     * @param query what it is chosen by
+     * @param query the candidates and the properties of the request
      */
     public Optional<PlacementChoice> choose(PlacementQuery query) {
         if (query.candidates().isEmpty()) {
             return Optional.empty();
         }
         Optional<PromptShape> prompt = query.prompt().filter(shape -> shape.sharedParts() > 0);
-        return Optional.of(prompt.isPresent() ? byPrompt(query, prompt.get()) : byLoad(query));
+        return Optional.of(prompt.isPresent() ? chooseByPrompt(query, prompt.get()) : chooseByLoad(query));
     }
 
-    private PlacementChoice byPrompt(PlacementQuery query, PromptShape prompt) {
+    private PlacementChoice chooseByPrompt(PlacementQuery query, PromptShape prompt) {
         long key = prompt.chainHash(prompt.sharedParts());
         double limit = Math.min(
-                LoadLimit.CHATS.requests(query.candidates(), book),
-                LoadLimit.WHOLE_SERVICE.requests(query.wholeService(), book));
-        ServiceEndpoint chosen = firstWithRoom(query.candidates(), key, limit);
+                LoadLimit.PROMPT_AFFINITY.requests(query.candidates(), book),
+                LoadLimit.PROMPT_AFFINITY_WHOLE_SERVICE.requests(query.wholeService(), book));
+        ServiceEndpoint chosen = firstWithinLimit(query.candidates(), key, limit);
         if (chosen == null) {
-            chosen = leastLoaded(compared(query));
+            chosen = leastLoaded(candidatesToCompare(query));
         }
-        int rank = passedOver(query.candidates(), key, chosen);
-        ServiceEndpoint holder = memory.holds(key, chosen, query.nowMillis()) ? null : holder(query, key, chosen);
+        int rank = rankOf(query.candidates(), key, chosen);
+        ServiceEndpoint holder = promptHistory.sentRecently(key, chosen, query.nowMillis())
+                ? null
+                : probableCacheHolder(query, key, chosen);
         return new PlacementChoice(
-                chosen, rank, requests(chosen), limit, query.candidates().size(), holder);
+                chosen,
+                rank,
+                requestsInFlight(chosen),
+                limit,
+                query.candidates().size(),
+                holder);
     }
 
     /**
-     * Notes that a request was sent: from now on its endpoint probably holds the shared parts of its prompt. A choice alone
-     * does not say so, since it may come to nothing.
+     * Records that a request was sent: its endpoint probably caches the shared parts of the prompt from now on.
+     * Choosing an endpoint records nothing, since the request may never be sent to the chosen endpoint.
      *
-     * @param prompt the request's prompt
-     * @param endpoint where it was sent
+     * @param prompt the prompt of the request
+     * @param endpoint the endpoint to which the request was sent
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void sent(PromptShape prompt, ServiceEndpoint endpoint, long nowMillis) {
         if (prompt.sharedParts() > 0) {
-            memory.sent(prompt.chainHash(prompt.sharedParts()), endpoint, nowMillis);
+            promptHistory.sent(prompt.chainHash(prompt.sharedParts()), endpoint, nowMillis);
         }
     }
 
-    private @Nullable ServiceEndpoint firstWithRoom(List<ServiceEndpoint> candidates, long key, double limit) {
+    private @Nullable ServiceEndpoint firstWithinLimit(List<ServiceEndpoint> candidates, long key, double limit) {
         ServiceEndpoint best = null;
         for (ServiceEndpoint endpoint : candidates) {
-            if (requests(endpoint) + 1 <= limit && (best == null || ranksBefore(key, endpoint, best))) {
+            if (requestsInFlight(endpoint) + 1 <= limit && (best == null || ranksBefore(key, endpoint, best))) {
                 best = endpoint;
             }
         }
@@ -102,29 +115,30 @@
     private ServiceEndpoint leastLoaded(List<ServiceEndpoint> candidates) {
         ServiceEndpoint least = candidates.get(0);
         for (ServiceEndpoint endpoint : candidates) {
-            if (requests(endpoint) < requests(least)) {
+            if (requestsInFlight(endpoint) < requestsInFlight(least)) {
                 least = endpoint;
             }
         }
         return least;
     }
 
-    private static int passedOver(List<ServiceEndpoint> candidates, long key, ServiceEndpoint chosen) {
-        int before = 0;
+    private static int rankOf(List<ServiceEndpoint> candidates, long key, ServiceEndpoint chosen) {
+        int higherRanked = 0;
         for (ServiceEndpoint endpoint : candidates) {
             if (ranksBefore(key, endpoint, chosen)) {
-                before++;
+                higherRanked++;
             }
         }
-        return before;
+        return higherRanked;
     }
 
     /**
-     * Guesses which other endpoint holds the prompt's shared parts: the one that it was sent to last from here, or the
-     * first in rank beside the chosen one. A wrong guess costs a question between engines and moves nothing.
+     * Guesses which other endpoint caches the shared parts of the prompt: the endpoint to which this router last sent
+     * them, or else the first in the rendezvous ranking. A wrong guess costs one query between engines and transfers no
+     * data.
      */
-    private @Nullable ServiceEndpoint holder(PlacementQuery query, long key, ServiceEndpoint chosen) {
-        String last = memory.lastEndpoint(key).orElse("");
+    private @Nullable ServiceEndpoint probableCacheHolder(PlacementQuery query, long key, ServiceEndpoint chosen) {
+        String last = promptHistory.lastEndpoint(key).orElse("");
         ServiceEndpoint first = null;
         for (ServiceEndpoint endpoint : query.cacheSources()) {
             if (endpoint.id().equals(chosen.id())) {
@@ -140,8 +154,8 @@
         return first;
     }
 
-    private PlacementChoice byLoad(PlacementQuery query) {
-        List<ServiceEndpoint> compared = compared(query);
+    private PlacementChoice chooseByLoad(PlacementQuery query) {
+        List<ServiceEndpoint> compared = candidatesToCompare(query);
         ServiceEndpoint best = compared.get(0);
         double bestCost = Double.MAX_VALUE;
         for (ServiceEndpoint endpoint : compared) {
@@ -152,15 +166,25 @@
             }
         }
         return new PlacementChoice(
-                best, 0, requests(best), best.slots(), query.candidates().size(), null);
+                best,
+                0,
+                requestsInFlight(best),
+                best.slots(),
+                query.candidates().size(),
+                null);
     }
 
-    private static List<ServiceEndpoint> compared(PlacementQuery query) {
-        return query.routers() > SURE_ROUTERS ? drawn(query.candidates(), query.requestHash()) : query.candidates();
+    private static List<ServiceEndpoint> candidatesToCompare(PlacementQuery query) {
+        return query.routers() > MAX_ROUTERS_FOR_FULL_SCAN
+                ? pickTwo(query.candidates(), query.requestHash())
+                : query.candidates();
     }
 
-    /** Draws two by chance: in a large fleet all would send to the least loaded before they hear that the others did. */
-    private static List<ServiceEndpoint> drawn(List<ServiceEndpoint> candidates, long requestHash) {
+    /**
+     * Picks two candidates at random. In a large fleet all routers would send requests to the least loaded endpoint
+     * before they learn that the others did the same.
+     */
+    private static List<ServiceEndpoint> pickTwo(List<ServiceEndpoint> candidates, long requestHash) {
         int size = candidates.size();
         if (size <= 2) {
             return candidates;
@@ -170,18 +194,18 @@
         return List.of(candidates.get(first), candidates.get((first + step) % size));
     }
 
-    /** Fullness first; among equally full ones the own data centre, then chance. */
+    /** Returns the requests in flight per slot; prefers the local data centre, then a random endpoint, among equals. */
     private double cost(ServiceEndpoint endpoint, long requestHash) {
-        double chance = (Rendezvous.mix(requestHash, endpoint.hash()) >>> UNUSED_BITS) * UNIT;
-        double distance = endpoint.dataCentre().equals(home) ? 0 : DISTANCE_COST;
-        return (requests(endpoint) + distance + CHANCE_COST * chance) / Math.max(1, endpoint.slots());
+        double random = (Rendezvous.mix(requestHash, endpoint.hash()) >>> UNUSED_BITS) * UNIT_INTERVAL_SCALE;
+        double distance = endpoint.dataCentre().equals(localDataCentre) ? 0 : REMOTE_DATA_CENTRE_COST;
+        return (requestsInFlight(endpoint) + distance + MAX_RANDOM_COST * random) / Math.max(1, endpoint.slots());
     }
 
     private static boolean ranksBefore(long key, ServiceEndpoint one, ServiceEndpoint other) {
         return Rendezvous.mix(key, one.hash()) > Rendezvous.mix(key, other.hash());
     }
 
-    private int requests(ServiceEndpoint endpoint) {
+    private int requestsInFlight(ServiceEndpoint endpoint) {
         return book.at(endpoint.id()).requests();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementChoice.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementChoice.java
@@ -5,14 +5,15 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * Where a request is to go, and why.
+ * The endpoint chosen for a request, with the figures that explain the choice.
  *
- * @param endpoint the endpoint
- * @param rank how many endpoints that were nearer to the request's prompt were passed over; 0 for its first choice
- * @param load the requests that were in flight there
- * @param limit the most that were allowed there
- * @param candidates the endpoints among which it was chosen
- * @param cacheHolder another endpoint that probably holds more of the prompt in its cache, or null
+ * @param endpoint the chosen endpoint
+ * @param rank the number of endpoints that precede the chosen one in the rendezvous ranking of the prompt; 0 for the
+ *     first
+ * @param load the requests in flight at the endpoint when it was chosen
+ * @param limit the maximum number of requests in flight that was allowed at the endpoint
+ * @param candidates the number of endpoints among which the endpoint was chosen
+ * @param cacheHolder another endpoint that probably caches more of the prompt, or null
  * @since 0.2.0
  */
 public record PlacementChoice(
@@ -22,7 +23,7 @@
         double limit,
         int candidates,
         @Nullable ServiceEndpoint cacheHolder) {
-    /** Returns another endpoint that probably holds more of the prompt in its cache. */
+    /** Returns another endpoint that probably caches more of the prompt than the chosen endpoint. */
     public Optional<ServiceEndpoint> holder() {
         return Optional.ofNullable(cacheHolder);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
@@ -6,14 +6,14 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * What a request's endpoint is chosen by.
+ * The inputs to the choice of a request's endpoint.
  *
- * @param candidates the endpoints that may be given the request
- * @param wholeService the endpoints in working order, those included that get nothing new for now
- * @param cacheSources the endpoints whose caches can be fetched from, those that leave included
- * @param prompt what the request says of its prompt, if anything
- * @param requestHash a well mixed hash of the request, which breaks ties
- * @param routers the routers of the fleet, this one included
+ * @param candidates the endpoints to which the request may be sent
+ * @param wholeService the usable endpoints of the service, including endpoints that receive no new requests for now
+ * @param cacheSources the endpoints from whose caches prompts can be fetched, including draining endpoints
+ * @param prompt the description of the prompt, if the request has one
+ * @param requestHash a uniformly distributed hash of the request, which breaks ties
+ * @param routers the number of routers in the fleet, including this router
  * @param nowMillis the time on the monotonic clock, in milliseconds
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Chooses the endpoint of a request.
+ * The choice of a request's endpoint by prompt affinity and load.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/event/OperationsTablesTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/event/OperationsTablesTest.java
@@ -22,7 +22,7 @@
 import org.radishpass.routing.traffic.TrafficServer;
 import reactor.netty.resources.LoopResources;
 
-/** Holds the tables of docs/OPERATIONS.md to the code. */
+/** Tests that the tables in docs/OPERATIONS.md match the events, faults and metrics in the code. */
 final class OperationsTablesTest {
     private final String page;
 
@@ -32,18 +32,18 @@
 
     @ParameterizedTest
     @EnumSource
-    void thePageHasEachEvent(LogEvent event) {
+    void thePageListsEveryEvent(LogEvent event) {
         assertThat(page).contains("| `" + event.text() + "` | " + event.meaning() + " |");
     }
 
     @ParameterizedTest
     @EnumSource
-    void thePageHasEachFaultOfAnEntry(EntryFault fault) {
+    void thePageListsEveryFaultOfAnEntry(EntryFault fault) {
         assertThat(page).contains("| `" + fault.label() + "` | " + fault.meaning() + " |");
     }
 
     @Test
-    void thePageHasNoEventThatIsNotWritten() {
+    void thePageListsNoUnknownEvent() {
         List<String> known =
                 List.of(LogEvent.values()).stream().map(LogEvent::text).toList();
         page.substring(page.indexOf("## Events"), page.indexOf("## Metrics"))
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void thePageHasEachMetric() {
+    void thePageListsEveryMetric() {
         LoopResources loops = LoopResources.create("test", 1, 1, true, false);
         PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         new TrafficServer(
--- a/radishpass-routing/src/test/java/org/radishpass/routing/load/ColdStartSharesTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/load/ColdStartSharesTest.java
@@ -17,8 +17,9 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * The pattern: a data centre's endpoints come back together and cold, in a burst, and every router of the fleet would send them as much as
- * it can. An endpoint bears 13 requests in a second; with the allowance of today's deployments all routers together may send it 24.5.
+ * Guards against overload of endpoints that are warming up: when a data centre returns, many endpoints start at once,
+ * and every router of the fleet would send them as many requests as possible. In this test an endpoint that is warming
+ * up handles 13 requests per second, and the allowance permits 24.5 requests per second from all routers together.
  */
 final class ColdStartSharesTest {
     private static final ColdStart COLD = new ColdStart(3_000, 13);
@@ -29,40 +30,40 @@
     private static final long LENGTH_MILLIS = 6_000;
     private static final long SECOND_MILLIS = 1_000;
 
-    /** The fleet's routers, in parts that know nothing of each other, each of which wants to send each 5 ms. */
+    /** Splits the fleet into disconnected parts. Every router tries to send a request every 5 ms. */
     @ParameterizedTest
     @CsvSource({"1, 1", "7, 1", "7, 2", "63, 1", "63, 2", "370, 1", "370, 2"})
-    void allTogetherNeverSendMoreThanTheLimitInAnySecond(int routers, int parts) {
-        List<Long> sent = sent(routers, parts);
-        assertThat(mostInASecond(sent)).isAtMost((int) LIMIT);
+    void allRoutersTogetherStayWithinTheLimitInEverySecond(int routers, int parts) {
+        List<Long> sent = simulate(routers, parts);
+        assertThat(maxInOneSecond(sent)).isAtMost((int) LIMIT);
     }
 
     @ParameterizedTest
     @CsvSource({"7", "63", "370"})
-    void anEndpointIsGivenAboutHalfOfThatWhileAllKnowEachOther(int routers) {
-        List<Long> sent = sent(routers, 1);
+    void connectedRoutersSendAboutHalfOfTheLimit(int routers) {
+        List<Long> sent = simulate(routers, 1);
         assertThat(sent.size()).isAtLeast((int) (LENGTH_MILLIS / SECOND_MILLIS * LIMIT / 2 * 0.8));
     }
 
     @Test
-    void aRouterThatDoesNotKnowItsFleetSendsNothing() {
+    void aRouterThatDoesNotKnowTheFleetMembersSendsNothing() {
         assertThat(new ColdStartShares().admits(ENDPOINT, COLD, FleetMembers.UNKNOWN, 0))
                 .isFalse();
     }
 
     @Test
-    void anEndpointThatBearsNothingIsSentNothing() {
+    void anEndpointWithoutCapacityDuringItsWarmUpIsSentNothing() {
         ColdStartShares shares = new ColdStartShares();
         assertThat(shares.admits(ENDPOINT, new ColdStart(3_000, 0), member(0, 7, 1), 0))
                 .isFalse();
     }
 
-    private static List<Long> sent(int routers, int parts) {
+    private static List<Long> simulate(int routers, int parts) {
         List<ColdStartShares> shares = new ArrayList<>();
         for (int router = 0; router < routers; router++) {
-            ColdStartShares own = new ColdStartShares();
-            own.allowance(ALLOWANCE);
-            shares.add(own);
+            ColdStartShares share = new ColdStartShares();
+            share.allowance(ALLOWANCE);
+            shares.add(share);
         }
         List<FleetMembers> members = IntStream.range(0, routers)
                 .mapToObj(router -> member(router, routers, parts))
@@ -73,7 +74,7 @@
             for (int router = 0; router < routers; router++) {
                 if (shares.get(router).admits(ENDPOINT, COLD, members.get(router), nowMillis)) {
                     shares.get(router).sent(ENDPOINT, nowMillis);
-                    sent.add(nowMillis + random.nextInt(20)); // the way there
+                    sent.add(nowMillis + random.nextInt(20)); // transit time
                 }
             }
         }
@@ -94,16 +95,16 @@
         return "10.0." + router % 4 + "." + router + ":7020";
     }
 
-    private static int mostInASecond(List<Long> sent) {
-        int most = 0;
+    private static int maxInOneSecond(List<Long> sent) {
+        int max = 0;
         int first = 0;
         for (int last = 0; last < sent.size(); last++) {
             while (sent.get(last) - sent.get(first) >= SECOND_MILLIS) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        assertWithMessage("something is sent").that(sent).isNotEmpty();
-        return most;
+        assertWithMessage("times of the requests sent").that(sent).isNotEmpty();
+        return max;
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/load/InFlightBookTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/load/InFlightBookTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.peer.message.WorkScope;
 
-/** Checks the sum of own and peers' work. */
+/** Tests the sum of this router's own work and of the work that peers report. */
 final class InFlightBookTest {
     private final InFlightBook book = new InFlightBook();
 
     @Test
-    void ownWorkAndThatOfPeersAddUp() {
+    void ownWorkAndReportedWorkAreSummed() {
         book.started("a", 100);
         book.peerTold("peer", WorkScope.GROUP, Map.of("a", new InFlight(2, 30), "b", new InFlight(1, 5)), 0);
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void whatAPeerTellsReplacesWhatItToldBefore() {
+    void aReportReplacesThePreviousReportOfThePeer() {
         book.peerTold("peer", WorkScope.GROUP, Map.of("a", new InFlight(2, 30)), 0);
         book.peerTold("peer", WorkScope.GROUP, Map.of("b", new InFlight(1, 5)), 10);
 
@@ -30,17 +30,17 @@
     }
 
     @Test
-    void aPeerThatFallsSilentCountsNoLonger() {
+    void theReportOfASilentPeerExpires() {
         book.peerTold("peer", WorkScope.GROUP, Map.of("a", new InFlight(2, 30)), 0);
 
-        book.forgetSilentPeers(InFlightBook.PEER_MEMORY_MILLIS);
+        book.forgetSilentPeers(InFlightBook.PEER_REPORT_VALID_MILLIS);
         assertThat(book.at("a").requests()).isEqualTo(2);
-        book.forgetSilentPeers(InFlightBook.PEER_MEMORY_MILLIS + 1);
+        book.forgetSilentPeers(InFlightBook.PEER_REPORT_VALID_MILLIS + 1);
         assertThat(book.at("a")).isEqualTo(InFlight.NONE);
     }
 
     @Test
-    void changesAreTakenOnceAndNameEndpointsThatBecameFree() {
+    void changesAreReturnedOnceAndIncludeEndpointsThatBecameIdle() {
         book.started("a", 1);
         assertThat(book.takeChanges()).containsExactly("a", new InFlight(1, 1));
         assertThat(book.takeChanges()).isEmpty();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aMembersWorkCountsForItsGroupAndIsNotToldBackToIt() {
+    void theWorkOfAMemberIsPartOfItsGroupAndIsNotReportedBackToIt() {
         book.started("a", 100);
         book.peerTold("member", WorkScope.MEMBER, Map.of("a", new InFlight(2, 30)), 0);
         book.peerTold("other", WorkScope.GROUP, Map.of("a", new InFlight(4, 40)), 0);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void theWordOnAllOthersIsNotAddedToThatOfSingleGroups() {
+    void aReportOnAllOthersReplacesReportsOfSingleGroups() {
         book.peerTold("early", WorkScope.GROUP, Map.of("a", new InFlight(1, 1)), 0);
         book.peerTold("gatherer", WorkScope.OTHERS, Map.of("a", new InFlight(3, 3)), 10);
         book.peerTold("late", WorkScope.GROUP, Map.of("a", new InFlight(1, 1)), 20);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aNewGatherersWordReplacesThatOfTheOneBefore() {
+    void aReportOfANewGathererReplacesTheReportOfThePreviousOne() {
         book.peerTold("before", WorkScope.OTHERS, Map.of("a", new InFlight(3, 3)), 0);
         book.peerTold("after", WorkScope.OTHERS, Map.of("a", new InFlight(4, 4)), 10);
 
@@ -78,9 +78,10 @@
     }
 
     @Test
-    void groupsCountAgainOnceNobodySpeaksForAll() {
+    void reportsOfGroupsCountAgainOnceTheReportOnAllOthersHasExpired() {
         book.peerTold("gatherer", WorkScope.OTHERS, Map.of("a", new InFlight(3, 3)), 0);
-        book.peerTold("group", WorkScope.GROUP, Map.of("a", new InFlight(2, 2)), InFlightBook.COVERED_MILLIS);
+        book.peerTold(
+                "group", WorkScope.GROUP, Map.of("a", new InFlight(2, 2)), InFlightBook.OTHERS_REPORT_VALID_MILLIS);
 
         assertThat(book.at("a").requests()).isEqualTo(2);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/placement/EndpointChooserTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/placement/EndpointChooserTest.java
@@ -21,14 +21,14 @@
 import org.radishpass.routing.load.InFlightBook;
 import org.radishpass.routing.load.LoadLimit;
 
-/** Checks where requests go. */
+/** Tests the choice of endpoints by prompt affinity, load limit and data centre. */
 final class EndpointChooserTest {
     private final InFlightBook book = new InFlightBook();
     private final EndpointChooser chooser = new EndpointChooser(book, new DataCentre("dc-0"));
     private final List<ServiceEndpoint> endpoints = endpoints(8);
 
     @Test
-    void promptsThatShareTheirPartsMeetWhateverTheirOwnPartIs() {
+    void promptsWithEqualSharedPartsGoToTheSameEndpoint() {
         Set<String> chosen = new HashSet<>();
         for (int request = 0; request < 20; request++) {
             chosen.add(choose(endpoints, prompt("subject", request)).endpoint().id());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void differentSubjectsSpread() {
+    void promptsWithDifferentSharedPartsSpreadOverAllEndpoints() {
         Set<String> chosen = new HashSet<>();
         for (int subject = 0; subject < 100; subject++) {
             chosen.add(choose(endpoints, prompt("subject-" + subject, 0))
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void onlySubjectsOfALostEndpointMove() {
+    void onlyPromptsOfARemovedEndpointMoveToOtherEndpoints() {
         for (int subject = 0; subject < 200; subject++) {
             String before = choose(endpoints, prompt("subject-" + subject, 0))
                     .endpoint()
@@ -62,10 +62,13 @@
         }
     }
 
-    /** The pattern: data centres are drained, and a hot subject among many comes to what is left; the limit counts all endpoints. */
+    /**
+     * Guards against overload of the remaining endpoints when data centres are drained and one prompt is frequent. The
+     * load limit counts the drained endpoints too.
+     */
     @ParameterizedTest
     @ValueSource(ints = {5, 6, 7})
-    void whileSomeEndpointsGetNothingTheOthersStayBelowTheLimitOfAll(int open) {
+    void candidatesStayWithinTheLimitOfTheWholeServiceWhileOtherEndpointsAreDrained(int open) {
         List<ServiceEndpoint> candidates = endpoints.subList(0, open);
         for (int request = 1; request <= 400; request++) {
             PromptShape prompt = prompt(request % 3 == 0 ? "hot" : "subject-" + request % 20, request);
@@ -77,10 +80,10 @@
     }
 
     @Test
-    void aHotSubjectNeverTakesAnEndpointAboveTheLimit() {
+    void aFrequentPromptNeverLoadsAnEndpointAboveTheLimit() {
         for (int request = 0; request < 400; request++) {
             PlacementChoice choice = choose(endpoints, prompt("hot", request));
-            assertThat((double) choice.load()).isAtMost(LoadLimit.CHATS.requests(endpoints, book));
+            assertThat((double) choice.load()).isAtMost(LoadLimit.PROMPT_AFFINITY.requests(endpoints, book));
             book.started(choice.endpoint().id(), 10);
         }
         for (ServiceEndpoint endpoint : endpoints) {
@@ -89,7 +92,7 @@
     }
 
     @Test
-    void anEndpointThatTakesOverIsToldWhereTheCacheIs() {
+    void anEndpointThatTakesOverAPromptIsToldWhichEndpointCachesIt() {
         PlacementChoice first = choose(endpoints, prompt("subject", 0));
         for (int request = 0; request < 10; request++) {
             book.started(first.endpoint().id(), 1);
@@ -105,16 +108,16 @@
     }
 
     @Test
-    void plainRequestsGoWhereTheLeastWorkIs() {
+    void requestsWithoutAPromptGoToTheLeastLoadedEndpoint() {
         endpoints.subList(0, 7).forEach(endpoint -> book.started(endpoint.id(), 0));
-        PlacementChoice choice = chooser.choose(plain(42)).orElseThrow();
+        PlacementChoice choice = chooser.choose(queryWithoutPrompt(42)).orElseThrow();
         assertThat(choice.endpoint().id()).isEqualTo("e7");
     }
 
     @Test
-    void amongEqualsTheOwnDataCentreIsTaken() {
+    void theLocalDataCentreIsPreferredAmongEquallyLoadedEndpoints() {
         for (long hash = 0; hash < 50; hash++) {
-            PlacementChoice choice = chooser.choose(plain(hash)).orElseThrow();
+            PlacementChoice choice = chooser.choose(queryWithoutPrompt(hash)).orElseThrow();
             assertThat(choice.endpoint().dataCentre().name()).isEqualTo("dc-0");
         }
     }
@@ -126,13 +129,13 @@
     }
 
     @Test
-    void inALargeFleetRoutersThatKnowTheSameDoNotAllSendToTheLeastLoaded() {
+    void routersOfALargeFleetDoNotAllChooseTheLeastLoadedEndpoint() {
         for (int number = 1; number < endpoints.size(); number++) {
             book.started(endpoints.get(number).id(), 0);
         }
         Map<String, Integer> sent = new HashMap<>();
         for (int request = 0; request < 800; request++) {
-            String id = chooser.choose(plainInLargeFleet(Rendezvous.hash("request-" + request)))
+            String id = chooser.choose(queryWithoutPromptInLargeFleet(Rendezvous.hash("request-" + request)))
                     .orElseThrow()
                     .endpoint()
                     .id();
@@ -151,11 +154,11 @@
         return choice;
     }
 
-    private PlacementQuery plain(long hash) {
+    private PlacementQuery queryWithoutPrompt(long hash) {
         return new PlacementQuery(endpoints, endpoints, endpoints, Optional.empty(), hash, 1, 0);
     }
 
-    private PlacementQuery plainInLargeFleet(long hash) {
+    private PlacementQuery queryWithoutPromptInLargeFleet(long hash) {
         return new PlacementQuery(endpoints, endpoints, endpoints, Optional.empty(), hash, 60, 0);
     }
 
