--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/AnswerHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/AnswerHead.java
@@ -5,17 +5,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the head of an endpoint's answer says.
+ * The decoded head of an endpoint's response.
  *
- * @param status the HTTP status
+ * @param status the HTTP status code
  * @param notRun whether the endpoint states that it has not run the request
- * @param requestId the request that it answers, or null if it does not say
- * @param endpointLoad its load, or null
- * @param keepAliveMillis how long it keeps the connection open without a request, in milliseconds, if it says so
- * @param signed whether it bears the endpoint's signature, without which a success cannot be believed
- * @param closing whether it closes the connection after this answer
- * @param leaving whether the endpoint states that it is draining: it finishes what it has and takes nothing new
- * @param retryAfterMillis for how long the endpoint asks to be sent nothing, in milliseconds, if it says so
+ * @param requestId the id of the request to which the response belongs, or null if absent
+ * @param endpointLoad the load that the endpoint reports, or null if absent
+ * @param keepAliveMillis the time for which the endpoint keeps an idle connection open, in milliseconds, if stated
+ * @param signed whether the head bears the endpoint's signature, without which a success is not trusted
+ * @param closing whether the endpoint closes the connection after this response
+ * @param leaving whether the endpoint states that it is draining: it completes its requests and accepts no new ones
+ * @param retryAfterMillis the time for which the endpoint asks to be sent nothing, in milliseconds, if stated
  * @since 0.2.0
  */
 public record AnswerHead(
@@ -31,47 +31,47 @@
     private static final int FIRST_SUCCESS = 200;
     private static final int LAST_SUCCESS = 299;
     private static final int TOO_MANY_REQUESTS = 429;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /**
-     * Starts to describe a head that says nothing but its status.
+     * Returns a builder of a head of which only the status is set.
      *
-     * @param status the HTTP status
+     * @param status the HTTP status code
      */
     public static Builder builder(int status) {
         return new Builder(status);
     }
 
     /**
-     * Returns for how long the endpoint is to be sent nothing because it has rejected a request, in milliseconds. On other answers the
-     * header is for the caller alone.
+     * Returns the time for which the endpoint is to be sent nothing because it has rejected a request, in milliseconds.
+     * On responses other than rejections, the Retry-After header concerns the caller only.
      */
     public OptionalLong backoffMillis() {
-        boolean rejected = status == UNAVAILABLE || status == TOO_MANY_REQUESTS;
+        boolean rejected = status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
         return rejected ? retryAfterMillis : OptionalLong.empty();
     }
 
-    /** Returns the load that the endpoint tells of itself. */
+    /** Returns the load that the endpoint reports. */
     public Optional<EndpointLoad> load() {
         return Optional.ofNullable(endpointLoad);
     }
 
-    /** Tells whether it claims a success that cannot be believed: its head was spoilt or cut on the way. */
+    /** Tells whether a success has no signature and is not trusted: the head was corrupted or truncated on the way. */
     public boolean unprovenSuccess() {
         return status >= FIRST_SUCCESS && status <= LAST_SUCCESS && !signed;
     }
 
     /**
-     * Tells whether this can be the answer to a request. An endpoint that does not say what it answers is believed.
+     * Tells whether this can be the response to a request. A response without a request id is accepted for any request.
      *
-     * @param id the request
+     * @param id the id of the request
      */
     public boolean answers(String id) {
         return requestId == null || requestId.equals(id);
     }
 
     /**
-     * Describes a head.
+     * Builder of an {@link AnswerHead}.
      *
      * @since 0.6.0
      */
@@ -96,31 +96,31 @@
             return this;
         }
 
-        /** Sets the request that it answers; null if it does not say. */
+        /** Sets the id of the request to which the response belongs; null if absent. */
         public Builder requestId(@Nullable String id) {
             this.requestId = id;
             return this;
         }
 
-        /** Sets the endpoint's load; null if it does not say. */
+        /** Sets the load that the endpoint reports; null if absent. */
         public Builder load(@Nullable EndpointLoad load) {
             this.endpointLoad = load;
             return this;
         }
 
-        /** Sets how long it keeps the connection open without a request, in milliseconds. */
+        /** Sets the time for which the endpoint keeps an idle connection open, in milliseconds. */
         public Builder keepAliveMillis(OptionalLong millis) {
             this.keepAliveMillis = millis;
             return this;
         }
 
-        /** Sets whether it bears the endpoint's signature. */
+        /** Sets whether the head bears the endpoint's signature. */
         public Builder signed(boolean present) {
             this.signed = present;
             return this;
         }
 
-        /** Sets whether it closes the connection after this answer. */
+        /** Sets whether the endpoint closes the connection after this response. */
         public Builder closing(boolean stated) {
             this.closing = stated;
             return this;
@@ -132,7 +132,7 @@
             return this;
         }
 
-        /** Sets for how long the endpoint asks to be sent nothing, in milliseconds. */
+        /** Sets the time for which the endpoint asks to be sent nothing, in milliseconds. */
         public Builder retryAfterMillis(OptionalLong millis) {
             this.retryAfterMillis = millis;
             return this;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/ForwardingHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/ForwardingHead.java
@@ -5,14 +5,14 @@
 import org.radishpass.core.fleet.Address;
 
 /**
- * What a router says to an endpoint beside the caller's own request.
+ * The values that a router adds to a caller's request before it forwards the request to an endpoint.
  *
- * @param endpointName the endpoint that alone may run the request
- * @param leftMillis the time left for the answer, in milliseconds
- * @param urgency the rank of the request, 0 being the most urgent
- * @param workspaceName the workspace that the request is run for, or null
- * @param resumeAfter the event after which the answer is to go on, or null
- * @param cacheAddress where another engine holds more of the prompt in its cache, or null
+ * @param endpointName the name of the only endpoint that may run the request
+ * @param leftMillis the time left until the response must be complete, in milliseconds
+ * @param urgency the priority of the request; 0 is the most urgent
+ * @param workspaceName the name of the workspace on whose behalf the request runs, or null
+ * @param resumeAfter the id of the event after which the response is to continue, or null
+ * @param cacheAddress the address of another engine that caches more of the prompt, or null
  * @since 0.2.0
  */
 public record ForwardingHead(
@@ -22,17 +22,17 @@
         @Nullable String workspaceName,
         @Nullable String resumeAfter,
         @Nullable Address cacheAddress) {
-    /** Returns the workspace that the request is run for. */
+    /** Returns the name of the workspace on whose behalf the request runs. */
     public Optional<String> workspace() {
         return Optional.ofNullable(workspaceName);
     }
 
-    /** Returns the event after which the answer is to go on. */
+    /** Returns the id of the event after which the response is to continue. */
     public Optional<String> lastEventId() {
         return Optional.ofNullable(resumeAfter);
     }
 
-    /** Returns where another engine holds more of the prompt in its cache, to be fetched from there. */
+    /** Returns the address of another engine that caches more of the prompt, from which the cache can be fetched. */
     public Optional<Address> cacheSource() {
         return Optional.ofNullable(cacheAddress);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/MalformedHeadException.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/MalformedHeadException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request head holds a header that cannot be read.
+ * Thrown when a request head contains a header that cannot be decoded.
  *
  * @since 0.2.0
  */
@@ -13,8 +13,8 @@
     /**
      * Creates the exception.
      *
-     * @param message names the header and what is wrong with it
-     * @param cause what was thrown, if anything
+     * @param message the name of the header and the reason
+     * @param cause the exception that the decoder threw, or null
      */
     public MalformedHeadException(String message, @Nullable Throwable cause) {
         super(message, cause);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/PromptShape.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/PromptShape.java
@@ -4,18 +4,18 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * What a request says of its prompt.
+ * The description of a request's prompt, as stated by the caller.
  *
- * @param model the model that it asks for
- * @param promptTokens the length of the prompt in tokens
- * @param maxOutputTokens the most tokens that it may generate
- * @param parts the parts of the prompt in order; the last belongs to the request or its session alone
+ * @param model the name of the requested model
+ * @param promptTokens the length of the prompt, in tokens
+ * @param maxOutputTokens the maximum number of tokens that the request may generate
+ * @param parts the parts of the prompt in order; the last part is not shared beyond the request or its session
  * @since 0.2.0
  */
 public record PromptShape(String model, int promptTokens, int maxOutputTokens, List<PromptPart> parts) {
-    private static final long CHAIN_MIX = 0x9E3779B97F4A7C15L;
+    private static final long CHAIN_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    /** Copies the parts. */
+    /** Creates a description with a copy of the parts. */
     public PromptShape {
         parts = List.copyOf(parts);
     }
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Returns the hash of the leading parts of the prompt together with the model.
+     * Returns a hash of the model and of the leading parts of the prompt.
      *
-     * @param count how many parts
+     * @param count the number of leading parts
      */
     public long chainHash(int count) {
         long hash = Rendezvous.hash(model);
         for (PromptPart part : parts.subList(0, count)) {
-            hash = Rendezvous.mix(hash * CHAIN_MIX, Rendezvous.hash(part.id()));
+            hash = Rendezvous.mix(hash * CHAIN_MULTIPLIER, Rendezvous.hash(part.id()));
         }
         return hash;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestDialect.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestDialect.java
@@ -5,32 +5,33 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Translates between a deployment's header names and the product's types. It decides nothing.
+ * Translates between the HTTP headers of a deployment and the types of this package. Implementations make no routing
+ * decisions.
  *
  * @since 0.2.0
  */
 public interface RequestDialect {
     /**
-     * Reads a caller's request head.
+     * Decodes the head of a caller's request.
      *
      * @param request the request
-     * @throws MalformedHeadException if a header cannot be read
+     * @throws MalformedHeadException if a header cannot be decoded
      */
     RequestHead decode(HttpRequest request);
 
     /**
-     * Turns a caller's headers into those for an endpoint: removes what callers may not say and what is for the router
-     * alone, and adds the router's own.
+     * Turns the headers of a caller's request into those for an endpoint: removes headers that callers may not set or
+     * that are meant for the router only, and adds the headers of the router.
      *
-     * @param headers a copy of the caller's headers without those that concern one connection only; changed
-     * @param forwarding what the router says
+     * @param headers a copy of the caller's headers without hop-by-hop headers; modified by this method
+     * @param forwarding the values that the router adds
      */
     void encode(HttpHeaders headers, ForwardingHead forwarding);
 
     /**
-     * Reads an endpoint's answer head.
+     * Decodes the head of an endpoint's response.
      *
-     * @param response the answer
+     * @param response the response
      */
     AnswerHead decodeAnswer(HttpResponse response);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestHead.java
@@ -5,15 +5,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the head of a caller's request says.
+ * The decoded head of a caller's request.
  *
- * @param id the caller's name for this attempt; empty if it gave none
+ * @param id the id that the caller gave this attempt; empty if absent
  * @param host the host without a port
  * @param path the path without a query
- * @param patienceMillis how long the caller waits from when it sent the request, in milliseconds, if it says so
- * @param bearerKey the key, or null
- * @param promptShape what it says of its prompt, or null
- * @param lastEventId the event after which the answer is to go on, or null
+ * @param patienceMillis the time for which the caller waits for the response after sending, in milliseconds, if stated
+ * @param bearerKey the API key, or null
+ * @param promptShape the description of the prompt, or null
+ * @param lastEventId the id of the event after which the response is to continue, or null
  * @since 0.2.0
  */
 public record RequestHead(
@@ -24,12 +24,12 @@
         @Nullable String bearerKey,
         @Nullable PromptShape promptShape,
         @Nullable String lastEventId) {
-    /** Returns the key. */
+    /** Returns the API key. */
     public Optional<String> key() {
         return Optional.ofNullable(bearerKey);
     }
 
-    /** Returns what it says of its prompt. */
+    /** Returns the description of the prompt. */
     public Optional<PromptShape> prompt() {
         return Optional.ofNullable(promptShape);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a deployment's dialect of HTTP headers says, as types; adapters implement the translation.
+ * Types for the values in a deployment's HTTP headers. Adapters implement the translation to and from the headers.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/AnswerPatience.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/AnswerPatience.java
@@ -4,122 +4,132 @@
 import java.util.Map;
 
 /**
- * How long an answer may take to begin before its endpoint is taken to be slow, by route: multiples of what the route's
- * answers usually take, and of what the slowest of them do, over all endpoints. Belongs to the traffic thread.
+ * Computes, for each route, how long a response may take to begin before its endpoint counts as slow. The limit is a
+ * multiple of the median, or of the 95th percentile, of the time until the responses of all endpoints begin. Confined
+ * to the traffic thread.
  *
- * <p>Both are running quantiles. They follow a service that gets slower as a whole, so that load is not taken for a
- * fault of single endpoints, and a third of the endpoints that are slow do not move the median much.
+ * <p>Both quantiles are running estimates. They follow a service that becomes slower as a whole, so that a high load is
+ * not mistaken for a fault of single endpoints. If one third of the endpoints is slow, the median changes little.
  *
  * @since 0.4.0
  */
 public final class AnswerPatience {
-    /** Returned by {@link #millis} while too little is known of a route. */
+    /** The result of this class's methods for a route with too few responses so far. */
     public static final long UNKNOWN = Long.MAX_VALUE;
 
     /**
-     * The multiple of the usual time. In calm traffic one answer in a hundred takes four times the median or longer (58 and
-     * 207 to 360 ms measured): three such in a row at one endpoint come about once in a million.
+     * The multiple of the median. In normal traffic, one response in a hundred takes four times the median or longer
+     * (median 58 ms, 99th percentile 207 to 360 ms). Three such responses in a row at one endpoint occur about once in
+     * a million.
      */
-    private static final double FACTOR = 4;
+    private static final double MEDIAN_FACTOR = 4;
 
-    /** The quantile that tells how long a route's answers take where the prompt is not cached, or others are before it. */
-    private static final double TAIL = 0.95;
+    /** The quantile that stands for responses to requests whose prompts are not cached, or that wait behind others. */
+    private static final double TAIL_QUANTILE = 0.95;
 
     /**
-     * The multiple of the tail. Without it, endpoints that had to read long prompts were left out: of 120 random deployments, 5
-     * lost over 4 requests in 100 by it.
+     * The multiple of the tail quantile. Without this limit, endpoints that processed long prompts were ejected: of 120
+     * random deployments, 5 lost more than 4 % of their requests that way.
      */
     private static final double TAIL_FACTOR = 2;
 
-    /** The least patience in milliseconds: pauses of a router's own process are about that long. */
-    private static final long LEAST_MILLIS = 100;
+    /** The minimum of the limit, in milliseconds: pauses of the router's own process are about that long. */
+    private static final long MIN_LIMIT_MILLIS = 100;
 
-    /** The part of the latency target that is left to a second try. */
-    private static final double LEFT_TO_SECOND_TRY = 0.5;
+    /** The fraction of the latency target after which a second try may start; the rest is left to the second try. */
+    private static final double SECOND_TRY_TARGET_FRACTION = 0.5;
 
-    /** Answers of a route before anything is concluded from their median. */
-    private static final int ENOUGH = 20;
+    /** The minimum number of responses of a route before its quantiles are used. */
+    private static final int MIN_RESPONSES = 20;
 
-    /** What one answer moves a quantile by at most: the median doubles within 29 answers that all take longer. */
-    private static final double STEP = 0.05;
+    /** The maximum relative change of a quantile by one response: 29 slower responses in a row double the median. */
+    private static final double MAX_RELATIVE_STEP = 0.05;
 
-    /** Routes that are remembered; more are forgotten all together, which costs {@link #ENOUGH} answers each. */
-    private static final int MOST_ROUTES = 4_096;
+    /**
+     * The maximum number of routes. Above it all are discarded; each then needs {@link #MIN_RESPONSES} responses again.
+     */
+    private static final int MAX_ROUTES = 4_096;
 
-    private final Map<String, Usual> byRoute = new HashMap<>();
+    private final Map<String, ResponseTimeQuantiles> byRoute = new HashMap<>();
 
     /**
-     * Notes how long an answer took to begin.
+     * Records how long a response took to begin.
      *
-     * @param route the name of its route
-     * @param millis the time from sending the request to the head of the answer, in milliseconds
+     * @param route the name of the route
+     * @param millis the time from sending the request to the head of the response, in milliseconds
      */
     public void note(String route, double millis) {
-        if (byRoute.size() >= MOST_ROUTES) {
+        if (byRoute.size() >= MAX_ROUTES) {
             byRoute.clear();
         }
-        byRoute.computeIfAbsent(route, name -> new Usual(Math.max(1.0, millis))).add(millis);
+        byRoute.computeIfAbsent(route, name -> new ResponseTimeQuantiles(Math.max(1.0, millis)))
+                .add(millis);
     }
 
     /**
-     * Returns how long an answer may take to begin, in milliseconds; {@link #UNKNOWN} while too little is known.
+     * Returns how long a response may take to begin before its endpoint counts as slow, in milliseconds;
+     * {@link #UNKNOWN} if the route has too few responses so far.
      *
-     * @param route the name of its route
+     * @param route the name of the route
      */
     public long millis(String route) {
-        Usual usual = byRoute.get(route);
-        if (usual == null || usual.count < ENOUGH) {
+        ResponseTimeQuantiles quantiles = byRoute.get(route);
+        if (quantiles == null || quantiles.count < MIN_RESPONSES) {
             return UNKNOWN;
         }
-        return Math.max(LEAST_MILLIS, Math.round(Math.max(FACTOR * usual.median, TAIL_FACTOR * usual.tail)));
+        return Math.max(
+                MIN_LIMIT_MILLIS, Math.round(Math.max(MEDIAN_FACTOR * quantiles.median, TAIL_FACTOR * quantiles.tail)));
     }
 
     /**
-     * Returns how long an answer usually takes to begin, in milliseconds; {@link #UNKNOWN} while too little is known.
+     * Returns the median of the time until a response begins, in milliseconds; {@link #UNKNOWN} if the route has too
+     * few responses so far.
      *
-     * @param route the name of its route
+     * @param route the name of the route
      * @since 0.6.0
      */
     public long usualMillis(String route) {
-        Usual usual = byRoute.get(route);
-        return usual == null || usual.count < ENOUGH ? UNKNOWN : Math.round(usual.median);
+        ResponseTimeQuantiles quantiles = byRoute.get(route);
+        return quantiles == null || quantiles.count < MIN_RESPONSES ? UNKNOWN : Math.round(quantiles.median);
     }
 
     /**
-     * Returns how long to wait for an answer to begin until it is tried elsewhere, in milliseconds: until the endpoint is taken to
-     * be slow, and at least until half of the latency target is over. Most answers that are late come by then, and a try
-     * elsewhere reads the prompt once more. {@link #UNKNOWN} while too little is known.
+     * Returns how long to wait for a response to begin before the request is also sent to another endpoint, in
+     * milliseconds: until the endpoint counts as slow, but at least half of the latency target. Most late responses
+     * begin by then, and a second try makes another engine process the prompt again. {@link #UNKNOWN} if the route has
+     * too few responses so far.
      *
-     * @param route the name of its route
-     * @param targetMillis the time within which an answer of the route should begin, in milliseconds
+     * @param route the name of the route
+     * @param targetMillis the time within which a response of the route should begin, in milliseconds
      */
     public long secondTryMillis(String route, long targetMillis) {
-        return Math.max(millis(route), Math.round(LEFT_TO_SECOND_TRY * targetMillis));
+        return Math.max(millis(route), Math.round(SECOND_TRY_TARGET_FRACTION * targetMillis));
     }
 
-    /** Running quantiles that take a number each. */
-    private static final class Usual {
-        private static final double HALF = 0.5;
+    /** Running estimates of two quantiles of the time until the responses of one route begin. */
+    private static final class ResponseTimeQuantiles {
+        private static final double MEDIAN_QUANTILE = 0.5;
 
         private double median;
         private double tail;
         private int count;
 
-        private Usual(double first) {
+        private ResponseTimeQuantiles(double first) {
             this.median = first;
             this.tail = first;
         }
 
         private void add(double millis) {
             count++;
-            median = moved(median, millis, HALF);
-            tail = moved(tail, millis, TAIL);
+            median = adjusted(median, millis, MEDIAN_QUANTILE);
+            tail = adjusted(tail, millis, TAIL_QUANTILE);
         }
 
-        /** Moves a quantile by steps whose sizes balance where the given part of all answers lies below it. */
-        private static double moved(double value, double millis, double quantile) {
-            double factor = millis > value ? 1 + STEP * quantile : 1 - STEP * (1 - quantile);
-            return Math.max(1.0, value * factor);
+        /** Returns the estimate adjusted by one sample; upward and downward steps balance at the given quantile. */
+        private static double adjusted(double estimate, double millis, double quantile) {
+            double factor =
+                    millis > estimate ? 1 + MAX_RELATIVE_STEP * quantile : 1 - MAX_RELATIVE_STEP * (1 - quantile);
+            return Math.max(1.0, estimate * factor);
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointBackoffs.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointBackoffs.java
@@ -6,58 +6,61 @@
 import org.radishpass.routing.fleet.EndpointDirectory;
 
 /**
- * Until when endpoints are to be sent nothing by this router, because they have rejected a request of its with Retry-After, and how many
- * requests they are given after that. Belongs to the traffic thread.
+ * Tracks the endpoints that have rejected a request of this router with Retry-After. Such an endpoint is sent nothing
+ * until its backoff ends, and a limited number of requests after that. Confined to the traffic thread.
  *
- * <p>All routers that an endpoint has rejected come back to it, and it may still be short of room. Each therefore begins with one request
- * and doubles the number of those that wait for the head of their answer with each that is not rejected.
+ * <p>All routers whose requests an endpoint has rejected return to the endpoint, which may still be short of capacity.
+ * Each router therefore starts with a window of one request that waits for the head of its response. Every accepted
+ * request doubles the window.
  *
  * @since 0.6.0
  */
 public final class EndpointBackoffs {
     /**
-     * Milliseconds for which an endpoint is sent nothing at most, unless it is set otherwise: an endpoint that asks for more is asked again
-     * after that, so that a wrong value does not take it out of use for good.
+     * The default for the maximum length of a backoff, in milliseconds. An endpoint that asks for a longer backoff is
+     * sent a request after this time, so that a wrong value does not take the endpoint out of use for good.
      */
     public static final long DEFAULT_LONGEST_MILLIS = 300_000;
 
-    private static final long NONE = Long.MIN_VALUE;
-    private static final int FIRST_WINDOW = 1;
+    private static final long NO_BACKOFF = Long.MIN_VALUE;
+    private static final int INITIAL_WINDOW = 1;
 
-    /** Requests that wait for the head of their answer, beyond which an endpoint is used like any other. */
-    private static final int LAST_WINDOW = 8;
+    /**
+     * The maximum window, in requests that wait for the head of their response; beyond it the endpoint has recovered.
+     */
+    private static final int MAX_WINDOW = 8;
 
     private final Map<String, Backoff> byEndpoint = new HashMap<>();
     private long longestMillis = DEFAULT_LONGEST_MILLIS;
 
     /**
-     * Sets for how long an endpoint is sent nothing at most; backoffs that are in force keep their ends.
+     * Sets the maximum length of a backoff. Backoffs in force keep their ends.
      *
-     * @param millis the time, in milliseconds
+     * @param millis the maximum length, in milliseconds
      */
     public void longestMillis(long millis) {
         longestMillis = millis;
     }
 
     /**
-     * Notes that an endpoint has rejected a request. Of overlapping backoffs the one that ends last counts; an answer to a request that it
-     * had taken before does not end them.
+     * Records that an endpoint has rejected a request. Of overlapping backoffs the one that ends last counts. A
+     * response to a request that the endpoint accepted earlier does not end a backoff.
      *
      * @param endpointId the endpoint
-     * @param backoffMillis for how long it is to be sent nothing, in milliseconds
+     * @param backoffMillis the length of the backoff that the endpoint asks for, in milliseconds
      * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether no backoff was in force
+     * @return whether a backoff begins now; false if one was already in force
      */
     public boolean rejected(String endpointId, long backoffMillis, long nowMillis) {
         boolean begins = !inForce(endpointId, nowMillis);
         Backoff backoff = byEndpoint.computeIfAbsent(endpointId, id -> new Backoff());
         backoff.untilMillis = Math.max(backoff.untilMillis, nowMillis + Math.min(backoffMillis, longestMillis));
-        backoff.window = FIRST_WINDOW;
+        backoff.window = INITIAL_WINDOW;
         return begins;
     }
 
     /**
-     * Tells whether an endpoint is to be sent nothing now.
+     * Tells whether a backoff of an endpoint is in force now.
      *
      * @param endpointId the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
@@ -78,7 +81,7 @@
     }
 
     /**
-     * Tells whether an endpoint has been in backoff and is not used like any other yet.
+     * Tells whether an endpoint is in backoff or has not recovered from one yet.
      *
      * @param endpointId the endpoint
      */
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Counts a request that is sent now.
+     * Counts a request that is sent now if the endpoint is recovering.
      *
      * @param endpointId the endpoint
-     * @return whether {@link #answered} is to be called for it, because the endpoint has been in backoff
+     * @return whether the request was counted, so that {@link #answered} must be called for it
      */
     public boolean sent(String endpointId) {
         Backoff backoff = byEndpoint.get(endpointId);
@@ -102,10 +105,10 @@
     }
 
     /**
-     * Notes the head of an answer to a request that was counted, or that there is none.
+     * Records the outcome of a request that was counted: the head of its response has arrived, or none will arrive.
      *
      * @param endpointId the endpoint
-     * @param accepted whether the endpoint has taken the request
+     * @param accepted whether the endpoint has accepted the request
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void answered(String endpointId, boolean accepted, long nowMillis) {
@@ -116,24 +119,24 @@
         backoff.unanswered = Math.max(0, backoff.unanswered - 1);
         if (accepted && nowMillis >= backoff.untilMillis) {
             backoff.window *= 2;
-            if (backoff.window > LAST_WINDOW) {
+            if (backoff.window > MAX_WINDOW) {
                 byEndpoint.remove(endpointId);
             }
         }
     }
 
     /**
-     * Returns when an endpoint's backoff ends, on the monotonic clock in milliseconds; long ago if there was none.
+     * Returns the end of an endpoint's backoff, on the monotonic clock in milliseconds; a time long ago if it had none.
      *
      * @param endpointId the endpoint
      */
     public long untilMillis(String endpointId) {
         @Nullable Backoff backoff = byEndpoint.get(endpointId);
-        return backoff == null ? NONE : backoff.untilMillis;
+        return backoff == null ? NO_BACKOFF : backoff.untilMillis;
     }
 
     /**
-     * Returns how many endpoints are to be sent nothing now.
+     * Returns the number of endpoints whose backoff is in force now.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
@@ -144,18 +147,18 @@
     }
 
     /**
-     * Forgets endpoints that are no longer listed.
+     * Removes endpoints that are no longer in the directory.
      *
-     * @param directory the endpoints that are listed
+     * @param directory the current endpoints
      */
     public void retain(EndpointDirectory directory) {
         byEndpoint.keySet().removeIf(id -> directory.find(id).isEmpty());
     }
 
-    /** The state of one endpoint since it first rejected a request, until it is used like any other. */
+    /** The state of one endpoint from its first rejection until it has recovered. */
     private static final class Backoff {
-        private long untilMillis = NONE;
-        private int window = FIRST_WINDOW;
+        private long untilMillis = NO_BACKOFF;
+        private int window = INITIAL_WINDOW;
         private int unanswered;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
@@ -3,56 +3,62 @@
 import org.radishpass.peer.message.WorkScope;
 
 /**
- * What this router has seen of one start of an endpoint. Belongs to the traffic thread.
+ * The health of one incarnation of an endpoint, as observed by this router and reported by peers. Confined to the
+ * traffic thread.
  *
- * <p>An endpoint is <em>down</em> while connections to it fail, which proves that nothing sent to it runs; it is tried
- * again in the background after a pause that doubles. It is <em>failing</em> while too many of its answers are errors, break
- * off or take far longer to begin than those of others; it is then left out for a while if enough others remain.
+ * <p>An endpoint is <em>down</em> while connections to it fail, which proves that no request runs there. The router
+ * retries the connection in the background after a delay that doubles each time. An endpoint is <em>failing</em> while
+ * too many of its responses are errors, break off or begin far later than those of other endpoints. A failing endpoint
+ * is ejected for a while if enough other endpoints remain.
  *
  * @since 0.2.0
  */
 public final class EndpointHealth {
-    /** Milliseconds until a connection is tried again after the first failure: about one restart of a process. */
-    private static final long FIRST_PAUSE_MILLIS = 250;
+    /**
+     * The delay before the first retry of a connection, in milliseconds: about the time in which a process restarts.
+     */
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 250;
 
-    /** The longest such pause in milliseconds: an endpoint that is back is in use again within it. */
-    private static final long LONGEST_PAUSE_MILLIS = 1_000;
+    /** The maximum delay between retries, in milliseconds: a recovered endpoint is in use again within this time. */
+    private static final long MAX_RETRY_DELAY_MILLIS = 1_000;
 
-    /** The weight of the newest outcome in the mean error rate: about the last six outcomes count. */
-    private static final double NEWEST = 0.16;
+    /** The weight of the newest outcome in the moving average of errors: about the last six outcomes count. */
+    private static final double NEWEST_OUTCOME_WEIGHT = 0.16;
 
-    /** The error rate from which an endpoint is left out; the worst sound service fails one request in seven. */
-    private static final double FAILING_RATE = 0.38;
+    /** The error rate at which an endpoint is ejected; the worst healthy service fails one request in seven. */
+    private static final double EJECTION_ERROR_RATE = 0.38;
 
-    /** Milliseconds for which a failing endpoint is left out. */
+    /** The time for which a failing endpoint is ejected, in milliseconds. */
     private static final long EJECTION_MILLIS = 2_500;
 
-    /** The error rate with which it is tried again: one more error ejects it at once. */
-    private static final double RATE_ON_TRIAL = 0.3;
+    /** The error rate assumed after an ejection: one more error ejects the endpoint again at once. */
+    private static final double ERROR_RATE_AFTER_EJECTION = 0.3;
 
-    /** Answers in a row that took too long to begin, from which an endpoint is left out; see {@link AnswerPatience}. */
-    private static final int SLOW_IN_A_ROW = 3;
+    /** The number of consecutive slow responses at which an endpoint is ejected; see {@link AnswerPatience}. */
+    private static final int EJECTION_SLOW_RESPONSES = 3;
 
-    /** Milliseconds by which the last sign of life is set back when a connection breaks: beyond any use of it. */
-    private static final long FORGOTTEN_MILLIS = 10_000;
+    /**
+     * The minimum age, in ms, of the last received bytes after a connection broke: older than any limit on that age.
+     */
+    private static final long DISCONNECTED_AGE_MILLIS = 10_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private double errorRate;
-    private int slowInRow;
-    private long failingUntilMillis = Long.MIN_VALUE;
-    private long saidToFailUntilMillis = Long.MIN_VALUE;
-    private long memberSaidUntilMillis = Long.MIN_VALUE;
+    private int consecutiveSlowResponses;
+    private long failingLocallyUntilMillis = Long.MIN_VALUE;
+    private long reportedFailingUntilMillis = Long.MIN_VALUE;
+    private long memberReportedFailingUntilMillis = Long.MIN_VALUE;
     private boolean down;
-    private boolean probing;
+    private boolean probeInProgress;
     private boolean doubted;
     private long probeAtMillis;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private long retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
     private long heardAtMillis;
     private long unreachableAtMillis = NEVER;
 
     /**
-     * Creates the health of an endpoint that nothing is known of.
+     * Creates the health of an endpoint without any observation so far.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
@@ -60,146 +66,152 @@
         this.heardAtMillis = nowMillis;
     }
 
-    /** Notes a connection that was made. */
+    /** Records that a connection to the endpoint was established. */
     public void connected(long nowMillis) {
         down = false;
         doubted = false;
-        probing = false;
-        pauseMillis = FIRST_PAUSE_MILLIS;
+        probeInProgress = false;
+        retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
         heardAtMillis = nowMillis;
     }
 
     /**
-     * Notes a connection that could not be made, or silence that amounts to the same.
+     * Records that a connection to the endpoint failed, or that the endpoint was silent for so long that it counts as
+     * unreachable.
      *
-     * @return whether the endpoint was taken to be up until now
+     * @return whether the endpoint counted as reachable until now
      */
     public boolean unreachable(long nowMillis) {
-        boolean news = !down;
+        boolean wasUp = !down;
         unreachableAtMillis = nowMillis;
         down = true;
         doubted = false;
-        probing = false;
-        probeAtMillis = nowMillis + pauseMillis;
-        pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, pauseMillis * 2);
-        return news;
+        probeInProgress = false;
+        probeAtMillis = nowMillis + retryDelayMillis;
+        retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
+        return wasUp;
     }
 
-    /** Returns when a connection to it failed last, on the monotonic clock in milliseconds; long ago if none did. */
+    /**
+     * Returns when a connection last failed, on the monotonic clock in milliseconds; a time long ago if none failed.
+     */
     public long unreachableAtMillis() {
         return unreachableAtMillis;
     }
 
-    /** Notes any bytes that came from it. */
+    /** Records that bytes arrived from the endpoint. */
     public void heard(long nowMillis) {
         heardAtMillis = nowMillis;
         doubted = false;
     }
 
-    /** Notes that a connection to it broke: until it is heard of again, nobody may take it to be reachable. */
+    /** Records that a connection broke: until bytes arrive again, the endpoint must not count as recently heard. */
     public void broke(long nowMillis) {
-        heardAtMillis = Math.min(heardAtMillis, nowMillis - FORGOTTEN_MILLIS);
+        heardAtMillis = Math.min(heardAtMillis, nowMillis - DISCONNECTED_AGE_MILLIS);
     }
 
-    /** Notes that it may be cut off, as others are, and that this is being found out. */
+    /** Marks the endpoint as possibly unreachable, because others are, while its connection is being checked. */
     public void doubt() {
         doubted = true;
     }
 
-    /** Tells whether it is being found out if it can be reached. */
+    /** Tells whether the endpoint is possibly unreachable and its connection is being checked. */
     public boolean doubted() {
         return doubted;
     }
 
-    /** Returns when bytes came from it last, on the monotonic clock in milliseconds. */
+    /** Returns when bytes last arrived from the endpoint, on the monotonic clock in milliseconds. */
     public long heardAtMillis() {
         return heardAtMillis;
     }
 
-    /** Notes an answer that was no error. */
+    /** Records a complete response that was not an error. */
     public void succeeded() {
-        errorRate -= NEWEST * errorRate;
+        errorRate -= NEWEST_OUTCOME_WEIGHT * errorRate;
     }
 
     /**
-     * Notes an error or a broken answer.
+     * Records a response that was an error or broke off.
      *
-     * @return whether it is taken to be failing from now on, and was not before
+     * @return whether the endpoint starts to count as failing
      */
     public boolean failed(long nowMillis) {
-        errorRate += NEWEST * (1 - errorRate);
-        if (errorRate < FAILING_RATE || seenFailing(nowMillis)) {
+        errorRate += NEWEST_OUTCOME_WEIGHT * (1 - errorRate);
+        if (errorRate < EJECTION_ERROR_RATE || failingLocally(nowMillis)) {
             return false;
         }
-        failingUntilMillis = nowMillis + EJECTION_MILLIS;
-        errorRate = RATE_ON_TRIAL;
+        failingLocallyUntilMillis = nowMillis + EJECTION_MILLIS;
+        errorRate = ERROR_RATE_AFTER_EJECTION;
         return true;
     }
 
-    /** Notes an answer that began in time. */
+    /** Records a response that began in time. */
     public void answeredInTime() {
-        slowInRow = 0;
+        consecutiveSlowResponses = 0;
     }
 
     /**
-     * Notes an answer that took, or still takes, too long to begin. After a while an endpoint that was left out for this is
-     * tried again; one more slow answer leaves it out at once.
+     * Records a response that took, or still takes, too long to begin. An endpoint that was ejected for slow responses
+     * is used again after a while; one more slow response then ejects it at once.
      *
-     * @return whether it is taken to be slow from now on, and was not before
+     * @return whether the endpoint starts to count as slow
      */
     public boolean answeredSlowly(long nowMillis) {
-        slowInRow++;
-        if (slowInRow < SLOW_IN_A_ROW || seenFailing(nowMillis)) {
+        consecutiveSlowResponses++;
+        if (consecutiveSlowResponses < EJECTION_SLOW_RESPONSES || failingLocally(nowMillis)) {
             return false;
         }
-        failingUntilMillis = nowMillis + EJECTION_MILLIS;
-        slowInRow = SLOW_IN_A_ROW - 1;
+        failingLocallyUntilMillis = nowMillis + EJECTION_MILLIS;
+        consecutiveSlowResponses = EJECTION_SLOW_RESPONSES - 1;
         return true;
     }
 
     /**
-     * Takes a peer's word that too many of its answers are errors.
+     * Records a peer's report that the endpoint is failing.
      *
-     * @param scope for whom the peer speaks
-     * @param untilMillis until when to leave it out, on the monotonic clock in milliseconds
+     * @param scope the routers on whose behalf the peer reports
+     * @param untilMillis the end of the report's validity, on the monotonic clock in milliseconds
      */
     public void saidToFail(WorkScope scope, long untilMillis) {
-        saidToFailUntilMillis = Math.max(saidToFailUntilMillis, untilMillis);
+        reportedFailingUntilMillis = Math.max(reportedFailingUntilMillis, untilMillis);
         if (!scope.leads()) {
-            memberSaidUntilMillis = Math.max(memberSaidUntilMillis, untilMillis);
+            memberReportedFailingUntilMillis = Math.max(memberReportedFailingUntilMillis, untilMillis);
         }
     }
 
-    /** Tells whether this router itself has seen too many errors or slow answers. */
-    public boolean seenFailing(long nowMillis) {
-        return nowMillis < failingUntilMillis;
+    /**
+     * Tells whether the endpoint is failing according to the errors and slow responses that this router itself has
+     * seen.
+     */
+    public boolean failingLocally(long nowMillis) {
+        return nowMillis < failingLocallyUntilMillis;
     }
 
-    /** Tells whether this router, or a member of its group, has seen too many errors. */
+    /** Tells whether the endpoint is failing according to this router or to a member of its group. */
     public boolean failingInGroup(long nowMillis) {
-        return seenFailing(nowMillis) || nowMillis < memberSaidUntilMillis;
+        return failingLocally(nowMillis) || nowMillis < memberReportedFailingUntilMillis;
     }
 
-    /** Tells whether connections to it fail. */
+    /** Tells whether connections to the endpoint fail. */
     public boolean down() {
         return down;
     }
 
-    /** Tells whether too many of its answers were errors. */
+    /** Tells whether the endpoint is failing according to this router or to any report of a peer. */
     public boolean failing(long nowMillis) {
-        return seenFailing(nowMillis) || nowMillis < saidToFailUntilMillis;
+        return failingLocally(nowMillis) || nowMillis < reportedFailingUntilMillis;
     }
 
     /**
-     * Tells whether a connection is to be tried in the background now; it is then taken to be on its way.
+     * Tells whether a connection is to be tried in the background now. If so, the attempt counts as begun.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public boolean takeProbe(long nowMillis) {
-        if (!down || probing || nowMillis < probeAtMillis) {
+        if (!down || probeInProgress || nowMillis < probeAtMillis) {
             return false;
         }
-        probing = true;
+        probeInProgress = true;
         return true;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/HealthBook.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/HealthBook.java
@@ -10,19 +10,21 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * The health of all endpoints as this router has seen it. Belongs to the traffic thread.
+ * Tracks the health of all endpoints as known to this router. Confined to the traffic thread.
  *
  * @since 0.2.0
  */
 public final class HealthBook {
-    /** The part of a service's endpoints that may be left out for errors or slowness; beyond it, these are not theirs. */
-    private static final double MOST_EJECTED = 0.4;
+    /**
+     * The maximum fraction of a service's endpoints to eject as failing; if more are failing, the cause lies elsewhere.
+     */
+    private static final double MAX_EJECTED_FRACTION = 0.4;
 
     /**
-     * Milliseconds for which a peer's word that an endpoint fails is taken: a few of its messages. Each router sees only a
-     * part of an endpoint's answers; what one has found out spares the others the same errors.
+     * The time for which a peer's report of a failing endpoint is valid, in milliseconds: a few messages of the peer.
+     * Each router sees only a part of an endpoint's responses; a report spares other routers the same errors.
      */
-    private static final long WORD_MILLIS = 1_000;
+    private static final long PEER_REPORT_VALID_MILLIS = 1_000;
 
     private final Map<String, EndpointHealth> byEndpoint = new HashMap<>();
 
@@ -37,66 +39,66 @@
     }
 
     /**
-     * Returns the endpoints that work can be given to. Suspicion narrows the choice but never empties it: where all look
-     * dead, all are returned.
+     * Returns the endpoints to which requests can be sent: those that are neither down, nor possibly unreachable, nor
+     * failing. A condition that would leave too few endpoints is ignored; if all endpoints are down, all are returned.
      *
-     * @param open the endpoints of a service that take new work
+     * @param open the endpoints of a service that accept new requests
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public List<ServiceEndpoint> usable(List<ServiceEndpoint> open, long nowMillis) {
-        List<ServiceEndpoint> reachable = surelyReachable(open, nowMillis);
+        List<ServiceEndpoint> reachable = reachableBeyondDoubt(open, nowMillis);
         if (reachable.isEmpty()) {
             return open;
         }
-        List<ServiceEndpoint> sound = sound(reachable, nowMillis);
-        return tooFew(sound, reachable) ? reachable : sound;
+        List<ServiceEndpoint> healthy = notFailing(reachable, nowMillis);
+        return tooFew(healthy, reachable) ? reachable : healthy;
     }
 
     /**
-     * Tells whether so many of a service's endpoints look bad that the fault is rather this router's, or everyone's load: then
-     * it makes no sense to try a request elsewhere sooner than needed.
+     * Tells whether so many endpoints of a service are down or failing that the cause is probably this router or a
+     * general overload. Trying a request elsewhere early is then pointless.
      *
-     * @param open the endpoints of a service that take new work
+     * @param open the endpoints of a service that accept new requests
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public boolean doubtful(List<ServiceEndpoint> open, long nowMillis) {
-        return tooFew(sound(reachable(open, nowMillis), nowMillis), open);
+        return tooFew(notFailing(reachable(open, nowMillis), nowMillis), open);
     }
 
-    private List<ServiceEndpoint> sound(List<ServiceEndpoint> endpoints, long nowMillis) {
-        List<ServiceEndpoint> sound = new ArrayList<>(endpoints.size());
+    private List<ServiceEndpoint> notFailing(List<ServiceEndpoint> endpoints, long nowMillis) {
+        List<ServiceEndpoint> healthy = new ArrayList<>(endpoints.size());
         for (ServiceEndpoint endpoint : endpoints) {
             if (!of(endpoint.id(), nowMillis).failing(nowMillis)) {
-                sound.add(endpoint);
+                healthy.add(endpoint);
             }
         }
-        return sound;
+        return healthy;
     }
 
-    private static boolean tooFew(List<ServiceEndpoint> sound, List<ServiceEndpoint> all) {
-        return sound.size() < all.size() * (1 - MOST_EJECTED);
+    private static boolean tooFew(List<ServiceEndpoint> healthy, List<ServiceEndpoint> all) {
+        return healthy.size() < all.size() * (1 - MAX_EJECTED_FRACTION);
     }
 
-    /** Those that are not down; without those in doubt unless there are no others. */
-    private List<ServiceEndpoint> surelyReachable(List<ServiceEndpoint> open, long nowMillis) {
+    /** Returns the endpoints that are not down, without those possibly unreachable unless there are no others. */
+    private List<ServiceEndpoint> reachableBeyondDoubt(List<ServiceEndpoint> open, long nowMillis) {
         List<ServiceEndpoint> reachable = reachable(open, nowMillis);
-        List<ServiceEndpoint> sure = reachable.stream()
+        List<ServiceEndpoint> undoubted = reachable.stream()
                 .filter(endpoint -> !of(endpoint.id(), nowMillis).doubted())
                 .toList();
-        return sure.isEmpty() ? reachable : sure;
+        return undoubted.isEmpty() ? reachable : undoubted;
     }
 
-    /** Returns the endpoints that this router, or a member of its group, has seen to fail too often. */
+    /** Returns the ids of the endpoints that are failing according to this router or to a member of its group. */
     public List<String> failingInGroup(long nowMillis) {
-        return those(health -> health.failingInGroup(nowMillis));
+        return idsOf(health -> health.failingInGroup(nowMillis));
     }
 
-    /** Returns the endpoints that any router has seen to fail too often, as far as this one was told. */
+    /** Returns the ids of the endpoints that are failing according to this router or to any report of a peer. */
     public List<String> failing(long nowMillis) {
-        return those(health -> health.failing(nowMillis));
+        return idsOf(health -> health.failing(nowMillis));
     }
 
-    private List<String> those(Predicate<EndpointHealth> wanted) {
+    private List<String> idsOf(Predicate<EndpointHealth> wanted) {
         return byEndpoint.entrySet().stream()
                 .filter(entry -> wanted.test(entry.getValue()))
                 .map(Map.Entry::getKey)
@@ -104,18 +106,18 @@
     }
 
     /**
-     * Takes a peer's word on endpoints that fail too often.
+     * Records a peer's report of failing endpoints.
      *
      * @param endpointIds the endpoints
-     * @param scope for whom the peer speaks
+     * @param scope the routers on whose behalf the peer reports
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void saidToFail(List<String> endpointIds, WorkScope scope, long nowMillis) {
-        endpointIds.forEach(id -> of(id, nowMillis).saidToFail(scope, nowMillis + WORD_MILLIS));
+        endpointIds.forEach(id -> of(id, nowMillis).saidToFail(scope, nowMillis + PEER_REPORT_VALID_MILLIS));
     }
 
     /**
-     * Returns the endpoints to which connections do not fail.
+     * Returns the endpoints that are not down.
      *
      * @param endpoints the endpoints
      * @param nowMillis the time on the monotonic clock, in milliseconds
@@ -127,10 +129,10 @@
     }
 
     /**
-     * Returns the endpoints that were heard of lately; all if none was.
+     * Returns the endpoints from which bytes arrived recently; all endpoints if there are none.
      *
      * @param endpoints the endpoints
-     * @param withinMillis how lately, in milliseconds
+     * @param withinMillis the maximum age of the last received bytes, in milliseconds
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public List<ServiceEndpoint> heardLately(List<ServiceEndpoint> endpoints, long withinMillis, long nowMillis) {
@@ -141,9 +143,9 @@
     }
 
     /**
-     * Forgets endpoints that are no longer known.
+     * Removes endpoints that are no longer in the directory.
      *
-     * @param directory the endpoints that are known
+     * @param directory the current endpoints
      */
     public void retain(EndpointDirectory directory) {
         byEndpoint.keySet().removeIf(id -> directory.find(id).isEmpty());
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/LeavingEndpoints.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/LeavingEndpoints.java
@@ -6,8 +6,9 @@
 import org.radishpass.routing.fleet.EndpointDirectory;
 
 /**
- * The starts of endpoints that have stated in an answer to this router that they are draining. The list of endpoints may show it much
- * later: it says what the store accepted, and the store may be unavailable. Belongs to the traffic thread.
+ * Tracks the endpoints that have stated in a response to this router that they are draining. The list of endpoints may
+ * show the draining much later, because the list comes from the store, which may be unavailable. Confined to the
+ * traffic thread.
  *
  * @since 0.6.0
  */
@@ -15,11 +16,11 @@
     private final Map<String, Long> sinceMillis = new HashMap<>();
 
     /**
-     * Notes that an endpoint is draining. That is never taken back for this start of it.
+     * Records that an endpoint is draining. One incarnation of an endpoint never stops draining again.
      *
      * @param endpointId the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether it was not known before
+     * @return whether the draining was not known before
      */
     public boolean note(String endpointId, long nowMillis) {
         return sinceMillis.putIfAbsent(endpointId, nowMillis) == null;
@@ -35,7 +36,8 @@
     }
 
     /**
-     * Returns when an endpoint first stated it, on the monotonic clock in milliseconds; empty if it did not.
+     * Returns when an endpoint first stated that it is draining, on the monotonic clock in milliseconds; empty if it
+     * did not.
      *
      * @param endpointId the endpoint
      */
@@ -44,15 +46,15 @@
         return since == null ? OptionalLong.empty() : OptionalLong.of(since);
     }
 
-    /** Returns how many endpoints have stated it. */
+    /** Returns the number of endpoints that have stated that they are draining. */
     public int size() {
         return sinceMillis.size();
     }
 
     /**
-     * Forgets endpoints that are no longer listed.
+     * Removes endpoints that are no longer in the directory.
      *
-     * @param directory the endpoints that are listed
+     * @param directory the current endpoints
      */
     public void retain(EndpointDirectory directory) {
         sinceMillis.keySet().removeIf(id -> directory.find(id).isEmpty());
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a router has seen of each endpoint's health.
+ * The health of the endpoints: failed connections, errors, slow responses, rejections and draining.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/health/AnswerPatienceTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/health/AnswerPatienceTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks how long an answer may take to begin, by what is usual on its route. */
+/** Tests the limit on the time until a response begins, and its dependence on the earlier responses of the route. */
 final class AnswerPatienceTest {
     private final AnswerPatience patience = new AnswerPatience();
 
     @Test
-    void nothingIsConcludedFromAFewAnswers() {
+    void thereIsNoLimitUntilEnoughResponsesHaveArrived() {
         note("chat", 60, 19);
         assertThat(patience.millis("chat")).isEqualTo(AnswerPatience.UNKNOWN);
         assertThat(patience.secondTryMillis("chat", 400)).isEqualTo(AnswerPatience.UNKNOWN);
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void itIsFourTimesWhatIsUsualOnTheRoute() {
+    void theLimitIsFourTimesTheMedianOfTheRoute() {
         note("chat", 60, 100);
         note("order", 90, 100);
         assertThat((double) patience.millis("chat")).isWithin(20).of(240);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void theFirstSlowAnswersOfAThirdOfTheEndpointsDoNotMoveItMuch() {
+    void theLimitChangesLittleAfterTheFirstSlowResponsesOfAThirdOfTheEndpoints() {
         note("chat", 60, 100);
         for (int round = 0; round < 4; round++) {
             note("chat", 60, 7);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whereATenthReadsLongPromptsItIsBeyondThese() {
+    void theLimitExceedsTheTimeOfLongPromptsWhenTheyAreATenthOfTheRequests() {
         for (int round = 0; round < 100; round++) {
             note("mixed", 60, 9);
             note("mixed", 700, 1);
@@ -45,20 +45,20 @@
     }
 
     @Test
-    void itFollowsAServiceThatGetsSlowerAsAWhole() {
+    void theLimitRisesWithAServiceThatBecomesSlowerAsAWhole() {
         note("chat", 60, 100);
         note("chat", 240, 80);
         assertThat(patience.millis("chat")).isGreaterThan(800L);
     }
 
     @Test
-    void itIsNeverShorterThanAPauseOfTheRouterItself() {
+    void theLimitIsNeverBelowAPauseOfTheRouterProcess() {
         note("quick", 2, 100);
         assertThat(patience.millis("quick")).isEqualTo(100);
     }
 
     @Test
-    void aSecondTryWaitsUntilHalfOfTheLatencyTargetIsOver() {
+    void aSecondTryWaitsForAtLeastHalfOfTheLatencyTarget() {
         note("chat", 60, 100);
         assertThat(patience.secondTryMillis("chat", 800)).isEqualTo(400);
         assertThat(patience.secondTryMillis("chat", 100)).isEqualTo(patience.millis("chat"));
--- a/radishpass-routing/src/test/java/org/radishpass/routing/health/EndpointBackoffsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/health/EndpointBackoffsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks until when an endpoint is sent nothing, and how requests come back to it. */
+/** Tests the end of backoffs and the gradual return of requests to an endpoint after its backoff. */
 final class EndpointBackoffsTest {
     private static final String ENDPOINT = "e";
 
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anAnswerToARequestFromBeforeDoesNotEndIt() {
+    void aResponseToAnEarlierRequestDoesNotEndTheBackoff() {
         boolean counted = backoffs.sent(ENDPOINT);
         backoffs.rejected(ENDPOINT, 3_000, 0);
         assertThat(counted).isFalse();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void requestsComeBackOneThenTwoThenFourAtATime() {
+    void theWindowDoublesWithEachAcceptedRequest() {
         backoffs.rejected(ENDPOINT, 1_000, 0);
         assertThat(sendAll(1_000)).isEqualTo(1);
         backoffs.answered(ENDPOINT, true, 1_050);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void oneMoreRejectionBeginsAnew() {
+    void anotherRejectionResetsTheWindow() {
         backoffs.rejected(ENDPOINT, 1_000, 0);
         sendAll(1_000);
         backoffs.answered(ENDPOINT, true, 1_050);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aLostRequestMakesRoomForAnother() {
+    void aRequestWithoutAResponseFreesItsPlaceInTheWindow() {
         backoffs.rejected(ENDPOINT, 1_000, 0);
         sendAll(1_000);
         assertThat(backoffs.admits(ENDPOINT, 5_000)).isFalse();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/health/HealthBookTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/health/HealthBookTest.java
@@ -10,14 +10,14 @@
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** Checks that suspicion narrows the choice of endpoints and never empties it. */
+/** Tests that unhealthy endpoints are excluded from the usable endpoints, and that some endpoints always remain. */
 final class HealthBookTest {
     private final HealthBook book = new HealthBook();
     private final List<ServiceEndpoint> open =
             IntStream.range(0, 5).mapToObj(HealthBookTest::endpoint).toList();
 
     @Test
-    void anEndpointThatCannotBeReachedIsLeftOutUntilAConnectionIsMade() {
+    void anUnreachableEndpointIsExcludedUntilAConnectionSucceeds() {
         EndpointHealth health = book.of("e0", 0);
         assertThat(health.unreachable(0)).isTrue();
         assertThat(health.unreachable(1)).isFalse();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theBackgroundTriesItAgainAfterAPauseThatGrows() {
+    void theDelayBetweenBackgroundRetriesGrows() {
         EndpointHealth health = book.of("e0", 0);
         health.unreachable(0);
         assertThat(health.takeProbe(249)).isFalse();
@@ -40,20 +40,20 @@
     }
 
     @Test
-    void whereNoneCanBeReachedAllAreTried() {
+    void allEndpointsAreUsableIfAllAreUnreachable() {
         open.forEach(endpoint -> book.of(endpoint.id(), 0).unreachable(0));
         assertThat(book.usable(open, 1)).hasSize(5);
     }
 
     @Test
-    void anEndpointWhoseAnswersFailIsLeftOutForAWhile() {
+    void anEndpointWithTooManyErrorsIsEjectedForAWhile() {
         fail("e0", 4);
         assertThat(book.usable(open, 100)).hasSize(4);
         assertThat(book.usable(open, 2_600)).hasSize(5);
     }
 
     @Test
-    void anEndpointWhoseAnswersAreSlowThreeTimesInARowIsLeftOut() {
+    void anEndpointIsEjectedAfterThreeConsecutiveSlowResponses() {
         EndpointHealth health = book.of("e0", 0);
         assertThat(health.answeredSlowly(0)).isFalse();
         assertThat(health.answeredSlowly(0)).isFalse();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aSlowEndpointOnTrialIsLeftOutAgainAtItsFirstSlowAnswer() {
+    void anEndpointEjectedForSlownessIsEjectedAgainAfterOneSlowResponse() {
         EndpointHealth health = book.of("e0", 0);
         for (int answer = 0; answer < 3; answer++) {
             health.answeredSlowly(0);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whereMostLookBadTheFaultIsDoubted() {
+    void theHealthOfAServiceIsDoubtfulIfMostEndpointsFail() {
         assertThat(book.doubtful(open, 0)).isFalse();
         for (String id : List.of("e0", "e1")) {
             fail(id, 4);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aPeersWordLeavesAnEndpointOutAndIsNotPassedOn() {
+    void theReportOfAnotherGroupEjectsAnEndpointAndIsNotForwarded() {
         book.saidToFail(List.of("e0"), WorkScope.GROUP, 0);
         assertThat(book.usable(open, 999)).hasSize(4);
         assertThat(book.usable(open, 1_000)).hasSize(5);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void anEndpointThatFailsOneRequestInSevenStaysIn() {
+    void anEndpointThatFailsOneRequestInSevenIsNotEjected() {
         EndpointHealth health = book.of("e0", 0);
         for (int request = 0; request < 1_000; request++) {
             if (request % 7 == 0) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void whereMostFailTheErrorsAreNotTheirs() {
+    void noEndpointIsEjectedIfMostAreFailing() {
         fail("e0", 4);
         fail("e1", 4);
         assertThat(book.usable(open, 100)).hasSize(3);
