--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/AtWork.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/AtWork.java
@@ -1,10 +1,10 @@
 package org.radishpass.routing.quarantine;
 
 /**
- * A request that was at work at an endpoint when that ended.
+ * A request that was in progress at an endpoint when the endpoint crashed.
  *
  * @param request the request
- * @param millis for how long, in milliseconds since it was sent there
+ * @param millis the time from sending the request to the crash, in milliseconds
  * @since 0.5.0
  */
 public record AtWork(RequestFingerprint request, long millis) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Quarantine.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Quarantine.java
@@ -9,297 +9,324 @@
 import java.util.Map;
 
 /**
- * Which requests are kept from endpoints because they end them, as far as this router and those that tell it know. Belongs to the traffic
- * thread.
+ * Identifies requests that crash the endpoints that run them, and keeps these requests from further endpoints. Combines
+ * the crashes that this router has seen with those that other routers report. Confined to the traffic thread.
  *
- * <p>Whenever an endpoint ends, every request at work there may have been the cause. One that is sent again and meets a second end soon after
- * that, and alone, or a third end however it came, is held to be it; of a service whose endpoints often end, more are asked for.
- * Whatever is answered is cleared at once, at all routers: a request that ends its endpoints is never answered. What is believed ages:
- * after a pause that grows with the ends one try is made.
+ * <p>When an endpoint crashes, every request in progress there is a suspect. A suspect that is sent again counts as the
+ * cause after a second crash if both crashes came soon after the request was sent and if no other such suspect shares
+ * them, and otherwise after a third crash. If the endpoints of the service crash often, more crashes are required. A
+ * request that is answered is cleared at once at all routers, because a request that crashes its endpoints is never
+ * answered. A quarantine is limited: after a time that grows with the number of crashes, the request is let through
+ * once as a trial.
  *
  * @since 0.5.0
  */
 public final class Quarantine {
-    /** Requests that are remembered: 0.9 KB each with six ends, 1.8 MB in all. No caller makes many without ending endpoints. */
-    static final int MOST_SUSPECTS = 2_048;
+    /**
+     * The maximum number of suspects: 0.9 KB each with six crashes, 1.8 MB in all. Creating many takes many crashes.
+     */
+    static final int MAX_SUSPECTS = 2_048;
 
-    /** The part of them that one workspace's requests take at most: beyond it they displace each other, and nobody else's. */
-    static final int MOST_OF_WORKSPACE = 256;
+    /**
+     * The maximum number of suspects of one workspace. Above it, its suspects evict each other and no other
+     * workspace's.
+     */
+    static final int MAX_SUSPECTS_OF_WORKSPACE = 256;
 
-    /** Requests of one end that are told: the youngest, since the cause is among them, and few enough for a message of 1.4 KB. */
-    static final int MOST_OF_END = 32;
+    /**
+     * The maximum number of suspects of one crash: the requests sent last, since the cause is among them. Few enough
+     * for a message of 1.4 KB.
+     */
+    static final int MAX_SUSPECTS_OF_CRASH = 32;
 
-    /** Ends in a row from which a request is held to be the cause that did not come soon each time, or met them with another one. */
-    private static final int ENDS_OTHERWISE = 3;
+    /**
+     * The minimum of consecutive crashes if one did not come soon after sending, or if another suspect shares them all.
+     */
+    private static final int MIN_CRASHES_WITHOUT_PATTERN = 3;
 
     private static final String THIS_ROUTER = "this router";
-    private static final String THE_STORE = "the store";
+    private static final String STORE = "the store";
 
-    private final Map<RequestFingerprint, Suspicion> suspicions = new LinkedHashMap<>();
+    private final Map<RequestFingerprint, CrashHistory> histories = new LinkedHashMap<>();
     private final Listener listener;
-    private final BackgroundEnds background = new BackgroundEnds();
-    private SuspectListener outward = SuspectListener.NONE;
+    private final CrashRate crashRate = new CrashRate();
+    private SuspectListener suspectListener = SuspectListener.NONE;
     private volatile int held;
 
     /**
-     * Creates one that knows nothing.
+     * Creates a quarantine without suspects.
      *
-     * @param listener hears of what changes
+     * @param listener receives changes in the status of requests
      */
     public Quarantine(Listener listener) {
         this.listener = listener;
     }
 
     /**
-     * Sets who hears of what this router finds out itself.
+     * Sets the listener that receives what this router finds out itself, for other routers and for the store.
      *
-     * @param newListener hears of it
+     * @param newListener the listener
      */
     public void onNews(SuspectListener newListener) {
-        outward = newListener;
+        suspectListener = newListener;
     }
 
     /**
-     * Notes that an endpoint has ended.
+     * Records that an endpoint has crashed.
      *
-     * @param service the service that it answered for
-     * @param endpointHash the hash of its id
-     * @param atWork the requests that were at work there
+     * @param service the service of the endpoint
+     * @param endpointHash the hash of the endpoint's id
+     * @param atWork the requests that were in progress at the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void ended(String service, long endpointHash, Collection<AtWork> atWork, long nowMillis) {
-        background.ended(service, atWork.size(), nowMillis);
-        List<Suspect> news = atWork.stream()
+        crashRate.crashed(service, atWork.size(), nowMillis);
+        List<Suspect> newSuspects = atWork.stream()
                 .sorted(Comparator.comparingLong(AtWork::millis))
-                .limit(MOST_OF_END)
-                .map(one -> suspect(one, endpointHash))
-                .filter(suspect -> seenHere(suspect, service, nowMillis))
+                .limit(MAX_SUSPECTS_OF_CRASH)
+                .map(request -> suspect(request, endpointHash))
+                .filter(suspect -> addLocalCrash(suspect, service, nowMillis))
                 .toList();
-        news.forEach(suspect -> keepIfHeld(suspect.request(), nowMillis));
-        tell(new SuspectReport(news, List.of()));
+        newSuspects.forEach(suspect -> storeIfCause(suspect.request(), nowMillis));
+        publish(new SuspectReport(newSuspects, List.of()));
     }
 
-    private static Suspect suspect(AtWork one, long endpointHash) {
-        return new Suspect(one.request(), List.of(new Sighting(endpointHash, 0, one.millis())), Suspect.NEVER_TRIED);
+    private static Suspect suspect(AtWork atWork, long endpointHash) {
+        return new Suspect(
+                atWork.request(), List.of(new Sighting(endpointHash, 0, atWork.millis())), Suspect.NEVER_TRIED);
     }
 
-    private boolean seenHere(Suspect suspect, String service, long nowMillis) {
-        Suspicion suspicion = suspicion(suspect.request());
-        suspicion.service(service);
-        suspicion.seenHere();
-        return suspicion.addAll(suspect.ends(), THIS_ROUTER, nowMillis);
+    private boolean addLocalCrash(Suspect suspect, String service, long nowMillis) {
+        CrashHistory history = historyOf(suspect.request());
+        history.service(service);
+        history.seenLocally();
+        return history.addAll(suspect.ends(), THIS_ROUTER, nowMillis);
     }
 
-    /** A router that has seen one of the ends itself sees to it that the request is kept in the store. */
-    private void keepIfHeld(RequestFingerprint request, long nowMillis) {
-        Suspicion suspicion = suspicions.get(request);
-        if (suspicion != null && suspicion.wasSeenHere() && heldToBeTheCause(suspicion, nowMillis)) {
-            suspicion.kept();
-            outward.quarantined(suspicion.told(request, nowMillis));
+    /** Has the request written to the store if it counts as the cause and this router itself saw one of its crashes. */
+    private void storeIfCause(RequestFingerprint request, long nowMillis) {
+        CrashHistory history = histories.get(request);
+        if (history != null && history.wasSeenLocally() && countsAsCause(history, nowMillis)) {
+            history.stored();
+            suspectListener.quarantined(history.toSuspect(request, nowMillis));
         }
     }
 
     /**
-     * Notes that a request was answered: it is harmless.
+     * Records that a request was answered, which proves that the request is harmless.
      *
      * @param request the request
-     * @param service the service that answered it
+     * @param service the service that answered the request
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void answered(RequestFingerprint request, String service, long nowMillis) {
-        background.answered(service, nowMillis);
+        crashRate.answered(service, nowMillis);
         if (clear(request)) {
-            tell(new SuspectReport(List.of(), List.of(request)));
+            publish(new SuspectReport(List.of(), List.of(request)));
         }
     }
 
     /**
-     * Notes that a request is being sent. If that is its trial, other routers are told so that they wait for what becomes of it.
+     * Records that a request is being sent. If this is the trial of a quarantined request, other routers are told, so
+     * that they wait for the outcome.
      *
      * @param request the request
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void sent(RequestFingerprint request, long nowMillis) {
-        Suspicion suspicion = suspicions.get(request);
-        if (suspicion != null && standing(suspicion, nowMillis) == Standing.ON_TRIAL) {
-            suspicion.tried(nowMillis);
-            listener.tried(request, suspicion.endsInRow());
-            tell(new SuspectReport(List.of(suspicion.told(request, nowMillis)), List.of()));
+        CrashHistory history = histories.get(request);
+        if (history != null && standing(history, nowMillis) == Standing.ON_TRIAL) {
+            history.tried(nowMillis);
+            listener.tried(request, history.consecutiveCrashes());
+            publish(new SuspectReport(List.of(history.toSuspect(request, nowMillis)), List.of()));
         }
     }
 
     /**
-     * Takes what another router tells.
+     * Merges the report of another router.
      *
-     * @param report what it tells
-     * @param origin who tells it, for the log
+     * @param report the report
+     * @param origin the name of the other router, for the log
      * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return the part of it that was not known
+     * @return the part of the report that was not known
      */
     public SuspectReport told(SuspectReport report, String origin, long nowMillis) {
-        List<Suspect> news = report.suspects().stream()
+        List<Suspect> newSuspects = report.suspects().stream()
                 .filter(suspect -> told(suspect, origin, nowMillis))
                 .toList();
         return new SuspectReport(
-                news, report.cleared().stream().filter(this::clear).toList());
+                newSuspects, report.cleared().stream().filter(this::clear).toList());
     }
 
     private boolean told(Suspect suspect, String origin, long nowMillis) {
-        Suspicion suspicion = suspicion(suspect.request());
-        boolean news = suspicion.addAll(suspect.ends(), origin, nowMillis);
-        if (news) {
-            keepIfHeld(suspect.request(), nowMillis);
+        CrashHistory history = historyOf(suspect.request());
+        boolean changed = history.addAll(suspect.ends(), origin, nowMillis);
+        if (changed) {
+            storeIfCause(suspect.request(), nowMillis);
         }
         if (suspect.tried()) {
-            news |= suspicion.tried(nowMillis - suspect.triedMillisAgo());
+            changed |= history.tried(nowMillis - suspect.triedMillisAgo());
         }
-        return news;
+        return changed;
     }
 
     /**
-     * Takes what the store has kept of earlier days; this router removes a row when its request proves harmless.
+     * Merges the suspects read from the store. This router removes a suspect from the store if its request turns out to
+     * be harmless.
      *
-     * @param suspects the requests
+     * @param suspects the suspects in the store
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public void restored(Collection<Suspect> suspects, long nowMillis) {
         for (Suspect suspect : suspects) {
-            told(suspect, THE_STORE, nowMillis);
-            suspicion(suspect.request()).kept();
+            told(suspect, STORE, nowMillis);
+            historyOf(suspect.request()).stored();
         }
     }
 
-    /** Returns all that is believed. */
+    /** Returns a report of all suspects. */
     public SuspectReport all(long nowMillis) {
-        List<Suspect> suspects = new ArrayList<>(suspicions.size());
-        suspicions.forEach((request, suspicion) -> suspects.add(suspicion.told(request, nowMillis)));
+        List<Suspect> suspects = new ArrayList<>(histories.size());
+        histories.forEach((request, history) -> suspects.add(history.toSuspect(request, nowMillis)));
         return new SuspectReport(suspects, List.of());
     }
 
     /**
-     * Returns what may be done with a request now.
+     * Returns the status of a request, which decides whether and how the request may be sent now.
      *
      * @param request the request
-     * @param service the service that it is for
+     * @param service the service to which the request is to be sent
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public Standing standing(RequestFingerprint request, String service, long nowMillis) {
-        Suspicion suspicion = suspicions.get(request);
-        if (suspicion == null || suspicion.outdated(nowMillis)) {
+        CrashHistory history = histories.get(request);
+        if (history == null || history.expired(nowMillis)) {
             return Standing.CLEAR;
         }
-        suspicion.service(service);
-        Standing standing = standing(suspicion, nowMillis);
-        if (standing == Standing.QUARANTINED && !suspicion.held()) {
-            suspicion.hold();
-            listener.quarantined(request, suspicion.endsInRow(), suspicion.origin());
+        history.service(service);
+        Standing standing = standing(history, nowMillis);
+        if (standing == Standing.QUARANTINED && !history.refused()) {
+            history.markRefused();
+            listener.quarantined(request, history.consecutiveCrashes(), history.origin());
         }
         return standing;
     }
 
-    private Standing standing(Suspicion suspicion, long nowMillis) {
-        return heldToBeTheCause(suspicion, nowMillis) ? suspicion.standing(nowMillis) : Standing.SUSPECTED;
+    private Standing standing(CrashHistory history, long nowMillis) {
+        return countsAsCause(history, nowMillis) ? history.standing(nowMillis) : Standing.SUSPECTED;
     }
 
-    /** Returns how many requests were held to end their endpoints when last tidied up; from any thread. */
+    /**
+     * Returns the number of requests that counted as a cause of crashes at the last {@link #tidy}; callable from any
+     * thread.
+     */
     public int held() {
         return held;
     }
 
-    /** Forgets what makes no difference any more. */
+    /** Removes expired suspects and counts the requests that are quarantined or awaiting a trial. */
     public void tidy(long nowMillis) {
-        suspicions.values().removeIf(suspicion -> suspicion.outdated(nowMillis));
-        background.tidy(nowMillis);
-        held = (int) suspicions.values().stream()
-                .filter(suspicion -> heldToBeTheCause(suspicion, nowMillis))
+        histories.values().removeIf(history -> history.expired(nowMillis));
+        crashRate.tidy(nowMillis);
+        held = (int) histories.values().stream()
+                .filter(history -> countsAsCause(history, nowMillis))
                 .count();
     }
 
-    /** What is once refused stays so until it is answered or forgotten: ends of others make it no better. */
-    private boolean heldToBeTheCause(Suspicion suspicion, long nowMillis) {
-        if (suspicion.held()) {
+    /**
+     * Tells whether a request counts as the cause of its crashes. Once refused, a request counts as the cause until it
+     * is answered or expires, even if a rising crash rate of the service now requires more crashes.
+     */
+    private boolean countsAsCause(CrashHistory history, long nowMillis) {
+        if (history.refused()) {
             return true;
         }
-        int needed = background.endsNeeded(suspicion.service(), nowMillis);
-        boolean fewTell = suspicion.typical() && alone(suspicion);
-        return suspicion.endsInRow() >= (fewTell ? needed : Math.max(needed, ENDS_OTHERWISE));
+        int needed = crashRate.crashesNeeded(history.service(), nowMillis);
+        boolean clearPattern = history.looksCaused() && hasDistinctCrashes(history);
+        return history.consecutiveCrashes() >= (clearPattern ? needed : Math.max(needed, MIN_CRASHES_WITHOUT_PATTERN));
     }
 
-    /** Two requests that met the same two ends cannot be told apart by them; the third end, or an answer, does. */
-    private boolean alone(Suspicion suspicion) {
-        return suspicions.values().stream()
-                .noneMatch(other -> other != suspicion && other.typical() && suspicion.sharedWith(other));
+    /**
+     * Tells whether no other likely cause was in progress at all of the same crashes. Two such requests can be
+     * distinguished only by a third crash or by a response.
+     */
+    private boolean hasDistinctCrashes(CrashHistory history) {
+        return histories.values().stream()
+                .noneMatch(other -> other != history && other.looksCaused() && history.allCrashesSharedWith(other));
     }
 
-    private Suspicion suspicion(RequestFingerprint request) {
-        Suspicion known = suspicions.get(request);
+    private CrashHistory historyOf(RequestFingerprint request) {
+        CrashHistory known = histories.get(request);
         if (known == null) {
-            makeRoom(request);
-            known = new Suspicion();
-            suspicions.put(request, known);
+            evictIfFull(request);
+            known = new CrashHistory();
+            histories.put(request, known);
         }
         return known;
     }
 
     private boolean clear(RequestFingerprint request) {
-        Suspicion cleared = suspicions.remove(request);
+        CrashHistory cleared = histories.remove(request);
         if (cleared == null) {
             return false;
         }
-        if (cleared.held()) {
-            listener.cleared(request, cleared.endsInRow());
+        if (cleared.refused()) {
+            listener.cleared(request, cleared.consecutiveCrashes());
         }
-        if (cleared.wasKept()) {
-            outward.released(request);
+        if (cleared.wasStored()) {
+            suspectListener.released(request);
         }
         return true;
     }
 
-    /** Drops the request with the fewest and oldest ends, of the same workspace if that has many, else of the one with the most. */
-    private void makeRoom(RequestFingerprint request) {
+    /**
+     * Evicts the suspect with the fewest and oldest crashes if a limit is reached: from the workspace of the new
+     * request if that workspace is at its limit, and otherwise from the workspace with the most suspects.
+     */
+    private void evictIfFull(RequestFingerprint request) {
         Map<Long, Integer> counts = new HashMap<>();
-        suspicions.keySet().forEach(other -> counts.merge(other.workspace(), 1, Integer::sum));
-        if (counts.getOrDefault(request.workspace(), 0) >= MOST_OF_WORKSPACE) {
-            drop(request.workspace());
-        } else if (suspicions.size() >= MOST_SUSPECTS) {
-            counts.entrySet().stream().max(Map.Entry.comparingByValue()).ifPresent(most -> drop(most.getKey()));
+        histories.keySet().forEach(other -> counts.merge(other.workspace(), 1, Integer::sum));
+        if (counts.getOrDefault(request.workspace(), 0) >= MAX_SUSPECTS_OF_WORKSPACE) {
+            evictFrom(request.workspace());
+        } else if (histories.size() >= MAX_SUSPECTS) {
+            counts.entrySet().stream().max(Map.Entry.comparingByValue()).ifPresent(most -> evictFrom(most.getKey()));
         }
     }
 
-    private void drop(long workspace) {
+    private void evictFrom(long workspace) {
         RequestFingerprint least = null;
-        Suspicion leastSuspicion = null;
-        for (Map.Entry<RequestFingerprint, Suspicion> entry : suspicions.entrySet()) {
+        CrashHistory leastHistory = null;
+        for (Map.Entry<RequestFingerprint, CrashHistory> entry : histories.entrySet()) {
             if (entry.getKey().workspace() == workspace
-                    && (leastSuspicion == null || before(entry.getValue(), leastSuspicion))) {
+                    && (leastHistory == null || evictedBefore(entry.getValue(), leastHistory))) {
                 least = entry.getKey();
-                leastSuspicion = entry.getValue();
+                leastHistory = entry.getValue();
             }
         }
-        suspicions.remove(least);
+        histories.remove(least);
     }
 
-    private static boolean before(Suspicion one, Suspicion other) {
-        return one.endsInRow() == other.endsInRow()
-                ? one.lastEndMillis() < other.lastEndMillis()
-                : one.endsInRow() < other.endsInRow();
+    private static boolean evictedBefore(CrashHistory one, CrashHistory other) {
+        return one.consecutiveCrashes() == other.consecutiveCrashes()
+                ? one.lastCrashMillis() < other.lastCrashMillis()
+                : one.consecutiveCrashes() < other.consecutiveCrashes();
     }
 
-    private void tell(SuspectReport report) {
+    private void publish(SuspectReport report) {
         if (!report.isEmpty()) {
-            outward.found(report);
+            suspectListener.found(report);
         }
     }
 
-    /** Hears of what is believed of requests. */
+    /** Receives changes in the status of requests. */
     public interface Listener {
-        /** A request is refused for the first time since it is held to end its endpoints. */
+        /** Called when this router refuses a request for the first time because the request crashes its endpoints. */
         void quarantined(RequestFingerprint request, int ends, String origin);
 
-        /** A request that was held back is let through once. */
+        /** Called when a quarantined request is let through once as a trial. */
         void tried(RequestFingerprint request, int ends);
 
-        /** A request that was refused here because of its ends was answered, here or elsewhere. */
+        /** Called when a request that this router had quarantined was answered, at this router or another. */
         void cleared(RequestFingerprint request, int ends);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/RequestFingerprint.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/RequestFingerprint.java
@@ -7,76 +7,76 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Tells whether two requests are the same, whichever router they come to and whatever id they bear: the same workspace sends the same
- * body to the same method, host, path and query.
+ * Identifies equal requests, whichever router receives them and whatever request id they have: requests of the same
+ * workspace with the same method, host, path, query and body.
  *
- * <p>The parts are the first 64 bits of a SHA-256 digest each, so that nobody can make a request that is taken for one of another
- * workspace. All three take 1 µs without a body, 2 µs for one of 1 KB and 11 ms for one of
- * 10 MB, measured on one core of a busy machine.
+ * <p>Each part is the first 64 bits of a SHA-256 digest, so that nobody can construct a request that is mistaken for
+ * one of another workspace. Computing all three parts takes 1 µs without a body, 2 µs with a body of 1 KB and 11 ms
+ * with a body of 10 MB, on one core of a busy machine.
  *
- * @param workspace the digest of the workspace's name; the same for all requests without one
+ * @param workspace the digest of the workspace's name; equal for all requests without a workspace
  * @param target the digest of method, host, path and query
  * @param body the digest of the body
  * @since 0.5.0
  */
 public record RequestFingerprint(long workspace, long target, long body) {
-    /** The fingerprint of a request of which nothing is known yet. */
+    /** The fingerprint of a request whose fingerprint has not been computed yet. */
     public static final RequestFingerprint UNKNOWN = new RequestFingerprint(0, 0, 0);
 
-    private static final String ALGORITHM = "SHA-256";
+    private static final String DIGEST_ALGORITHM = "SHA-256";
 
-    /** Ends each part of a target, so that no two lists of parts run together alike. */
+    /** Terminates each text in a digest, so that different lists of texts never give the same bytes. */
     private static final byte SEPARATOR = 0;
 
-    /** Bits of each part that a log line shows: enough to find equal requests, too few to test guesses of a body by. */
-    private static final int SHOWN_BITS = 32;
+    /** The number of bits of each part in logs: enough to find equal requests, too few to verify a guess of a body. */
+    private static final int LOGGED_BITS = 32;
 
     /**
-     * Takes a request's fingerprint.
+     * Computes the fingerprint of a request.
      *
-     * @param workspace the name of its workspace; empty if it has none
-     * @param method its method
-     * @param host its host
-     * @param uri its path and query
-     * @param body its body; it is not consumed
+     * @param workspace the name of the workspace; empty if the request has none
+     * @param method the HTTP method
+     * @param host the host
+     * @param uri the path and the query
+     * @param body the body, which is not consumed
      */
     public static RequestFingerprint of(String workspace, String method, String host, String uri, ByteBuf body) {
-        MessageDigest digest = digest();
-        long workspacePart = part(digest, workspace);
-        long targetPart = part(digest, method, host, uri);
+        MessageDigest digest = newDigest();
+        long workspacePart = digestPart(digest, workspace);
+        long targetPart = digestPart(digest, method, host, uri);
         for (ByteBuffer buffer : body.nioBuffers()) {
             digest.update(buffer);
         }
-        return new RequestFingerprint(workspacePart, targetPart, first(digest));
+        return new RequestFingerprint(workspacePart, targetPart, firstBits(digest));
     }
 
-    private static long part(MessageDigest digest, String... texts) {
+    private static long digestPart(MessageDigest digest, String... texts) {
         for (String text : texts) {
             digest.update(text.getBytes(StandardCharsets.UTF_8));
             digest.update(SEPARATOR);
         }
-        return first(digest);
+        return firstBits(digest);
     }
 
-    private static long first(MessageDigest digest) {
+    private static long firstBits(MessageDigest digest) {
         return ByteBuffer.wrap(digest.digest()).getLong();
     }
 
-    private static MessageDigest digest() {
+    private static MessageDigest newDigest() {
         try {
-            return MessageDigest.getInstance(ALGORITHM);
+            return MessageDigest.getInstance(DIGEST_ALGORITHM);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException("this Java platform lacks the required digest " + DIGEST_ALGORITHM, e);
         }
     }
 
-    /** Returns a short form for logs. */
+    /** Returns a shortened form for logs. */
     @Override
     public String toString() {
-        return "%08x-%08x-%08x".formatted(shown(workspace), shown(target), shown(body));
+        return "%08x-%08x-%08x".formatted(loggedBits(workspace), loggedBits(target), loggedBits(body));
     }
 
-    private static long shown(long part) {
-        return part >>> SHOWN_BITS;
+    private static long loggedBits(long part) {
+        return part >>> LOGGED_BITS;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Sighting.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Sighting.java
@@ -1,15 +1,15 @@
 package org.radishpass.routing.quarantine;
 
 /**
- * An endpoint that ended while a request was at work there.
+ * A crash of an endpoint while a request was in progress there.
  *
- * @param endpointHash the hash of the endpoint's id, which names one start of it
- * @param ageMillis how long ago, in milliseconds
- * @param atWorkMillis how long before its end the request had been sent there, in milliseconds
+ * @param endpointHash the hash of the endpoint's id, which names one incarnation of the endpoint
+ * @param ageMillis the time since the crash, in milliseconds
+ * @param atWorkMillis the time from sending the request to the crash, in milliseconds
  * @since 0.5.0
  */
 public record Sighting(long endpointHash, long ageMillis, long atWorkMillis) {
-    /** Returns this sighting some time later. */
+    /** Returns this crash with its age increased by a time in milliseconds. */
     Sighting aged(long millis) {
         return new Sighting(endpointHash, ageMillis + millis, atWorkMillis);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Standing.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Standing.java
@@ -1,18 +1,20 @@
 package org.radishpass.routing.quarantine;
 
 /**
- * What may be done with a request.
+ * The status of a request with regard to endpoint crashes, which decides whether and how the request may be sent.
  *
  * @since 0.5.0
  */
 public enum Standing {
-    /** No endpoint has ended with it at work. */
+    /** No endpoint is known to have crashed while the request was in progress there. */
     CLEAR(true, true),
-    /** Endpoints have ended with it at work, which is no proof: it is sent, but to one endpoint only. */
+    /**
+     * Endpoints crashed while the request was in progress, which is no proof. The request is sent to one endpoint only.
+     */
     SUSPECTED(true, false),
-    /** It was held back for long enough that one try may show whether it still ends its endpoint. */
+    /** The quarantine is over. The request is sent once, to find out whether it still crashes its endpoint. */
     ON_TRIAL(true, false),
-    /** It is held to end its endpoints, and goes to none. */
+    /** The request counts as the cause of crashes and is sent to no endpoint. */
     QUARANTINED(false, false);
 
     private final boolean admitted;
@@ -23,12 +25,12 @@
         this.mayBeRepeated = mayBeRepeated;
     }
 
-    /** Tells whether it may be sent to an endpoint. */
+    /** Tells whether the request may be sent to an endpoint. */
     public boolean admitted() {
         return admitted;
     }
 
-    /** Tells whether one arrival of it may be sent to another endpoint after its answer has broken off at one. */
+    /** Tells whether the request may be retried at another endpoint after its response broke off. */
     public boolean mayBeRepeated() {
         return mayBeRepeated;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * A request at whose work endpoints have ended, as routers tell each other of it.
+ * A request that was in progress at endpoints when they crashed, as routers report it to each other and store it.
  *
  * @param request the request
- * @param ends the endpoints
- * @param triedMillisAgo how long ago it was let through to find out whether it still ends its endpoint, in milliseconds; {@link
- *     #NEVER_TRIED} if it was not
+ * @param ends the crashes
+ * @param triedMillisAgo the time since the last trial, which shows whether the request still crashes its endpoint, in
+ *     milliseconds; {@link #NEVER_TRIED} if there was no trial
  * @since 0.5.0
  */
 public record Suspect(RequestFingerprint request, List<Sighting> ends, long triedMillisAgo) {
-    /** The age of a trial that did not happen. */
+    /** The value of {@link #triedMillisAgo} if there was no trial. */
     public static final long NEVER_TRIED = -1;
 
-    /** Copies the ends. */
+    /** Creates a suspect with a copy of the crashes. */
     public Suspect {
         ends = List.copyOf(ends);
     }
 
-    /** Tells whether it was let through since it was suspected. */
+    /** Tells whether the request has been let through as a trial. */
     public boolean tried() {
         return triedMillisAgo != NEVER_TRIED;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectListener.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectListener.java
@@ -1,45 +1,47 @@
 package org.radishpass.routing.quarantine;
 
 /**
- * Hears of what a router finds out itself of requests that may end their endpoints; called on the traffic thread.
+ * Receives what this router itself finds out about requests that may crash their endpoints. Called on the traffic
+ * thread.
  *
  * @since 0.5.0
  */
 public interface SuspectListener {
-    /** Hears nothing. */
+    /** A listener that ignores all calls. */
     SuspectListener NONE = new SuspectListener() {
         @Override
         public void found(SuspectReport news) {
-            // nobody to tell
+            // ignored
         }
 
         @Override
         public void quarantined(Suspect suspect) {
-            // nowhere to keep it
+            // ignored
         }
 
         @Override
         public void released(RequestFingerprint request) {
-            // it was not kept
+            // ignored
         }
     };
 
     /**
-     * Endpoints have ended, or a request was answered, at this router.
+     * Called when endpoints crashed, when a suspect was answered or when a trial begins at this router.
      *
-     * @param news what others do not know yet
+     * @param news the findings to report to other routers
      */
     void found(SuspectReport news);
 
     /**
-     * A request is held to be the cause, or has met one more end; this router has seen one of its ends itself.
+     * Called when a request counts as the cause of crashes, and again after each further crash. This router has seen at
+     * least one of the crashes itself, and has to write the request to the store.
      *
-     * @param suspect the request, with all its ends
+     * @param suspect the request with all its crashes
      */
     void quarantined(Suspect suspect);
 
     /**
-     * A request that was held to be the cause was answered at this router.
+     * Called when a request that is in the store was answered, so that it has to be removed from the store.
      *
      * @param request the request
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectReport.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectReport.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * What one router tells others of requests that may end their endpoints. Reports may be lost, come twice or in any order: what is
- * believed after several does not depend on it, but for requests that were cleared meanwhile.
+ * A report of one router to others about requests that may crash their endpoints. Reports may be lost, duplicated or
+ * reordered. The result of merging several reports does not depend on their order, except for requests that were
+ * cleared in the meantime.
  *
- * @param suspects the requests
- * @param cleared requests that were answered, and so are harmless
+ * @param suspects the suspects
+ * @param cleared the requests that were answered and are therefore harmless
  * @since 0.5.0
  */
 public record SuspectReport(List<Suspect> suspects, List<RequestFingerprint> cleared) {
-    /** Copies both lists. */
+    /** Creates a report with copies of both lists. */
     public SuspectReport {
         suspects = List.copyOf(suspects);
         cleared = List.copyOf(cleared);
     }
 
-    /** Tells whether it tells nothing. */
+    /** Tells whether the report contains neither suspects nor cleared requests. */
     public boolean isEmpty() {
         return suspects.isEmpty() && cleared.isEmpty();
     }
 
-    /** Returns the same report as it is to be told some time later, in milliseconds. */
+    /** Returns this report with all ages increased by a time in milliseconds. */
     public SuspectReport aged(long millis) {
         return new SuspectReport(
                 suspects.stream().map(suspect -> suspect.aged(millis)).toList(), cleared);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectSource.java
@@ -4,38 +4,39 @@
 import java.util.function.Consumer;
 
 /**
- * The traffic side as its control side sees it: which requests may end their endpoints. Methods may be called from any thread.
+ * Interface of the traffic thread to the control thread for exchanging suspects with other routers and with the store.
+ * Methods may be called from any thread.
  *
  * @since 0.5.0
  */
 public interface SuspectSource {
     /**
-     * Takes what another router tells.
+     * Merges the report of another router.
      *
-     * @param report what it tells
-     * @param origin who tells it, for the log
-     * @param news takes the part of it that was not known, if there is any; called on the traffic thread
+     * @param report the report
+     * @param origin the name of the other router, for the log
+     * @param news receives the part of the report that was not known, unless empty; called on the traffic thread
      */
     void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> news);
 
     /**
-     * Takes what the store has kept.
+     * Merges the suspects read from the store.
      *
-     * @param suspects the requests
+     * @param suspects the suspects in the store
      */
     void suspectsRestored(List<Suspect> suspects);
 
     /**
-     * Gives all that is believed now.
+     * Passes a report of all current suspects to a consumer.
      *
-     * @param taker takes it; called on the traffic thread
+     * @param consumer receives the report on the traffic thread
      */
-    void suspects(Consumer<SuspectReport> taker);
+    void suspects(Consumer<SuspectReport> consumer);
 
     /**
-     * Hears from now on of what this router has found out itself.
+     * Sets the listener that receives what this router finds out itself.
      *
-     * @param listener hears of it
+     * @param listener the listener
      */
     void onSuspects(SuspectListener listener);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that end the endpoints that run them: how they are recognised when they come again, and kept from further endpoints.
+ * Quarantine of requests that crash the endpoints that run them: how such requests are identified and refused.
  *
  * @since 0.5.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/InnocentRequestsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/InnocentRequestsTest.java
@@ -12,71 +12,76 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The pattern: a service of few engines on which one request after the other is broken off, since an engine ends each second or so, with or
- * without a request that causes it. Callers repeat what broke off. Checks how many requests that cause nothing are refused: fewer
- * than one in a thousand, since refusing one costs its caller as much as the end of an engine does.
+ * Guards against the quarantine of harmless requests. The simulated service has few engines, of which one crashes about
+ * every second, with or without a request that causes crashes. Callers repeat requests whose responses broke off. Fewer
+ * than one in a thousand harmless requests may be refused, since a refusal costs the caller as much as a crash does.
  */
 final class InnocentRequestsTest {
     private static final String SERVICE = "chat";
     private static final int ENGINES = 13;
-    private static final long DAY_MILLIS = 120_000;
-    private static final long BACK_AFTER_MILLIS = 3_000;
+    private static final long SIMULATED_MILLIS = 120_000;
+    private static final long RESTART_MILLIS = 3_000;
     private static final int ARRIVALS_PER_SECOND = 60;
     private static final long MEAN_RUN_MILLIS = 1_500;
-    private static final int MOST_REPEATS = 4;
-    private static final double MOST_REFUSED = 0.001;
+    private static final int MAX_REPEATS = 4;
+    private static final double MAX_REFUSED_FRACTION = 0.001;
 
-    /** Measured with seeds 1 to 20: 18 of 8,000 or so each are refused in all; by two ends alone, whatever the service, 2,216 were. */
+    /**
+     * With seeds 1 to 20 and about 8,000 requests each, 18 requests are refused in all. A fixed rule of two crashes for
+     * every service refused 2,216.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void fewInnocentRequestsAreRefusedWhileEnginesEndByThemselves(long seed) {
+    void fewHarmlessRequestsAreRefusedWhileEnginesCrashOnTheirOwn(long seed) {
         Service service = new Service(seed, 1_000, false);
         service.run();
         assertWithMessage("refused of %s", service.requests)
                 .that((double) service.refused / service.requests)
-                .isLessThan(MOST_REFUSED);
+                .isLessThan(MAX_REFUSED_FRACTION);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void oneRequestThatEndsItsEngineIsFoundAmongManyThatDoNot(long seed) {
+    void aRequestThatCrashesItsEngineIsFoundAndNoOtherIsRefused(long seed) {
         Service service = new Service(seed, Long.MAX_VALUE, true);
         service.run();
-        assertWithMessage("engines ended").that(service.endedByPoison).isAtMost(3);
+        assertWithMessage("engines crashed by the poison request")
+                .that(service.crashesByPoison)
+                .isAtMost(3);
         assertThat(service.refused).isEqualTo(0);
     }
 
-    /** Both at once: the cause has to be found among ends that it has not caused. */
+    /** Combines both cases: the poison request must be found while engines also crash for other reasons. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void itIsFoundAmongEndsThatItHasNotCaused(long seed) {
+    void aRequestThatCrashesItsEngineIsFoundAmongUnrelatedCrashes(long seed) {
         Service service = new Service(seed, 2_000, true);
         service.run();
-        assertThat(service.endedByPoison).isAtMost(6);
-        assertThat((double) service.refused / service.requests).isLessThan(MOST_REFUSED);
+        assertThat(service.crashesByPoison).isAtMost(6);
+        assertThat((double) service.refused / service.requests).isLessThan(MAX_REFUSED_FRACTION);
     }
 
-    /** A service with one quarantine, as if all routers knew at once what one knows. */
+    /** Simulates a service with a single quarantine, as if all routers exchanged their findings without delay. */
     private static final class Service {
         private final Random random;
-        private final long meanMillisBetweenEnds;
+        private final long meanMillisBetweenCrashes;
         private final PriorityQueue<Step> steps =
                 new PriorityQueue<>(Comparator.comparingLong(Step::atMillis).thenComparingLong(Step::order));
         private final List<Engine> engines = new ArrayList<>();
         private final Quarantine quarantine = new Quarantine(new Quarantine.Listener() {
             @Override
             public void quarantined(RequestFingerprint request, int ends, String origin) {
-                // counted where it is refused
+                // refusals are counted in arrive()
             }
 
             @Override
             public void tried(RequestFingerprint request, int ends) {
-                // of no interest here
+                // not checked by this test
             }
 
             @Override
             public void cleared(RequestFingerprint request, int ends) {
-                // of no interest here
+                // not checked by this test
             }
         });
         private long nowMillis;
@@ -84,24 +89,24 @@
         private long startedEngines;
         private int requests;
         private int refused;
-        private int endedByPoison;
+        private int crashesByPoison;
 
-        private Service(long seed, long meanMillisBetweenEnds, boolean poisoned) {
+        private Service(long seed, long meanMillisBetweenCrashes, boolean poisoned) {
             this.random = new Random(seed);
-            this.meanMillisBetweenEnds = meanMillisBetweenEnds;
+            this.meanMillisBetweenCrashes = meanMillisBetweenCrashes;
             for (int number = 0; number < ENGINES; number++) {
                 engines.add(new Engine(startedEngines++));
             }
-            for (int number = 0; number < DAY_MILLIS / 1_000 * ARRIVALS_PER_SECOND; number++) {
+            for (int number = 0; number < SIMULATED_MILLIS / 1_000 * ARRIVALS_PER_SECOND; number++) {
                 Request request = new Request(new RequestFingerprint(number % 10, 1, number), false);
-                at(random.nextLong(DAY_MILLIS), () -> arrive(request));
+                schedule(random.nextLong(SIMULATED_MILLIS), () -> arrive(request));
             }
             if (poisoned) {
                 Request poison = new Request(new RequestFingerprint(1, 1, -1), true);
-                at(10_000, () -> arrive(poison));
+                schedule(10_000, () -> arrive(poison));
             }
-            if (meanMillisBetweenEnds < Long.MAX_VALUE) {
-                at(spread(meanMillisBetweenEnds), this::endAny);
+            if (meanMillisBetweenCrashes < Long.MAX_VALUE) {
+                schedule(exponentialMillis(meanMillisBetweenCrashes), this::crashAny);
             }
         }
 
@@ -128,8 +133,8 @@
             Engine engine = engines.get(random.nextInt(engines.size()));
             Run run = new Run(request, nowMillis);
             engine.runs.add(run);
-            long lasts = request.poison ? 60 + random.nextInt(60) : spread(MEAN_RUN_MILLIS);
-            at(lasts, () -> finish(engine, run));
+            long runMillis = request.poison ? 60 + random.nextInt(60) : exponentialMillis(MEAN_RUN_MILLIS);
+            schedule(runMillis, () -> finish(engine, run));
         }
 
         private void finish(Engine engine, Run run) {
@@ -137,24 +142,24 @@
                 return;
             }
             if (run.request.poison) {
-                endedByPoison++;
-                end(engine);
+                crashesByPoison++;
+                crash(engine);
                 return;
             }
             engine.runs.remove(run);
             quarantine.answered(run.request.fingerprint, SERVICE, nowMillis);
         }
 
-        private void endAny() {
-            if (nowMillis < DAY_MILLIS) {
+        private void crashAny() {
+            if (nowMillis < SIMULATED_MILLIS) {
                 if (!engines.isEmpty()) {
-                    end(engines.get(random.nextInt(engines.size())));
+                    crash(engines.get(random.nextInt(engines.size())));
                 }
-                at(spread(meanMillisBetweenEnds), this::endAny);
+                schedule(exponentialMillis(meanMillisBetweenCrashes), this::crashAny);
             }
         }
 
-        private void end(Engine engine) {
+        private void crash(Engine engine) {
             List<Run> broken = List.copyOf(engine.runs);
             engine.runs.clear();
             engines.remove(engine);
@@ -166,28 +171,29 @@
                             .toList(),
                     nowMillis);
             broken.forEach(run -> repeat(run.request));
-            at(BACK_AFTER_MILLIS, () -> engines.add(new Engine(startedEngines++)));
+            schedule(RESTART_MILLIS, () -> engines.add(new Engine(startedEngines++)));
         }
 
-        /** The poisoned request comes again all day, each second or so; others give up after a few tries. */
+        /** Repeats a request: the poison request about every second until the end, others only a few times. */
         private void repeat(Request request) {
             request.repeats++;
-            boolean again = request.poison ? nowMillis < DAY_MILLIS : request.repeats <= MOST_REPEATS;
+            boolean again = request.poison ? nowMillis < SIMULATED_MILLIS : request.repeats <= MAX_REPEATS;
             if (again) {
-                at(request.poison ? 500 + random.nextInt(1_000) : 50 + random.nextInt(250), () -> arrive(request));
+                schedule(
+                        request.poison ? 500 + random.nextInt(1_000) : 50 + random.nextInt(250), () -> arrive(request));
             }
         }
 
-        private void at(long inMillis, Runnable task) {
+        private void schedule(long inMillis, Runnable task) {
             steps.add(new Step(nowMillis + inMillis, order++, task));
         }
 
-        private long spread(long meanMillis) {
+        private long exponentialMillis(long meanMillis) {
             return Math.round(-meanMillis * Math.log(1 - random.nextDouble()));
         }
     }
 
-    /** An engine, by a number that no other start has. */
+    /** An engine, identified by a number that is unique to this start. */
     private static final class Engine {
         private final long hash;
         private final List<Run> runs = new ArrayList<>();
@@ -197,7 +203,7 @@
         }
     }
 
-    /** A request, which its caller may send several times. */
+    /** A request that its caller may send several times. */
     private static final class Request {
         private final RequestFingerprint fingerprint;
         private final boolean poison;
@@ -209,7 +215,7 @@
         }
     }
 
-    /** A run of a request at an engine; two of them are never the same. */
+    /** A run of a request at an engine, compared by object identity. */
     private static final class Run {
         private final Request request;
         private final long sentAtMillis;
@@ -220,6 +226,6 @@
         }
     }
 
-    /** Something that happens at a moment. */
+    /** A task of the simulation that is due at a certain time. */
     private record Step(long atMillis, long order, Runnable task) {}
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/QuarantineTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/QuarantineTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Checks on what grounds a request is held to end its endpoints, for how long, and how that is unlearnt. */
+/** Tests when a request counts as the cause of endpoint crashes, how long it is quarantined, and how it is cleared. */
 final class QuarantineTest {
     private static final String SERVICE = "chat";
     private static final long NOW = 1_000_000;
@@ -15,41 +15,41 @@
     private static final long SOON = 100;
     private static final long LATE = 3_000;
     private static final RequestFingerprint POISON = request(1, 1);
-    private static final RequestFingerprint INNOCENT = request(1, 2);
+    private static final RequestFingerprint HARMLESS = request(1, 2);
 
-    private final List<String> heard = new ArrayList<>();
-    private final List<SuspectReport> told = new ArrayList<>();
-    private final Quarantine quarantine = quarantine(heard, told);
+    private final List<String> calls = new ArrayList<>();
+    private final List<SuspectReport> reports = new ArrayList<>();
+    private final Quarantine quarantine = quarantine(calls, reports);
 
     @Test
-    void oneEndIsNoProof() {
+    void oneCrashMakesARequestSuspectedOnly() {
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
         assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
-        assertThat(quarantine.standing(INNOCENT, SERVICE, NOW)).isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW)).isEqualTo(Standing.CLEAR);
     }
 
     @Test
-    void twoEndsSoonAfterItWasSentAre() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON), new AtWork(INNOCENT, SOON)), NOW);
+    void twoCrashesSoonAfterSendingQuarantineARequest() {
+        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON), new AtWork(HARMLESS, SOON)), NOW);
         quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + 900);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 901)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(INNOCENT, SERVICE, NOW + 901)).isEqualTo(Standing.SUSPECTED);
-        assertThat(heard)
+        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 901)).isEqualTo(Standing.SUSPECTED);
+        assertThat(calls)
                 .containsExactly("kept 1 with 2", "quarantined 1 after 2 by this router")
                 .inOrder();
     }
 
     @Test
-    void theSameEndToldTwiceIsOneEnd() {
+    void aCrashReportedTwiceCountsOnce() {
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW + 5);
-        quarantine.told(told.get(0).aged(1_000), "other", NOW + 1_000);
+        quarantine.told(reports.get(0).aged(1_000), "other", NOW + 1_000);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 1_000)).isEqualTo(Standing.SUSPECTED);
-        assertThat(told).hasSize(1);
+        assertThat(reports).hasSize(1);
     }
 
     @Test
-    void endsLongAfterItWasSentNeedAThird() {
+    void crashesLongAfterSendingQuarantineARequestOnlyAtTheThird() {
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, LATE)), NOW);
         quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, LATE)), NOW + 4_000);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 4_001)).isEqualTo(Standing.SUSPECTED);
@@ -57,61 +57,63 @@
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 8_001)).isEqualTo(Standing.QUARANTINED);
     }
 
-    /** Callers that poll send equal requests all the time: many are at work when a rack fails, and none of them is the cause. */
+    /**
+     * Polling callers send equal requests all the time: many are in progress when a rack fails, and none is the cause.
+     */
     @Test
-    void endsAtTheSameMomentAreOne() {
+    void simultaneousCrashesCountOnce() {
         for (int endpoint = 0; endpoint < 8; endpoint++) {
-            quarantine.ended(SERVICE, endpoint, List.of(new AtWork(INNOCENT, SOON)), NOW + endpoint);
+            quarantine.ended(SERVICE, endpoint, List.of(new AtWork(HARMLESS, SOON)), NOW + endpoint);
         }
-        assertThat(quarantine.standing(INNOCENT, SERVICE, NOW + 10)).isEqualTo(Standing.SUSPECTED);
+        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 10)).isEqualTo(Standing.SUSPECTED);
     }
 
     @Test
-    void howManyAreHeldIsCountedWhenTidied() {
-        endTwice();
+    void tidyUpdatesTheNumberOfQuarantinedRequests() {
+        crashTwice();
         quarantine.tidy(NOW + 1_000);
         assertThat(quarantine.held()).isEqualTo(1);
     }
 
     @Test
-    void twoRequestsThatMetTheSameEndsAreNotHeldUntilTheyCanBeToldApart() {
-        List<AtWork> both = List.of(new AtWork(POISON, SOON), new AtWork(INNOCENT, SOON));
+    void twoRequestsWithTheSameCrashesAreNotQuarantinedUntilOneIsAnswered() {
+        List<AtWork> both = List.of(new AtWork(POISON, SOON), new AtWork(HARMLESS, SOON));
         quarantine.ended(SERVICE, 1, both, NOW);
         quarantine.ended(SERVICE, 2, both, NOW + 900);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 901)).isEqualTo(Standing.SUSPECTED);
 
-        quarantine.answered(INNOCENT, SERVICE, NOW);
+        quarantine.answered(HARMLESS, SERVICE, NOW);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 902)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(INNOCENT, SERVICE, NOW + 902)).isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 902)).isEqualTo(Standing.CLEAR);
     }
 
     @Test
-    void whatIsAnsweredIsClearedAtOnceAndOthersAreTold() {
+    void anAnsweredRequestIsClearedAtOnceAndReportedToOtherRouters() {
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
         quarantine.answered(POISON, SERVICE, NOW);
-        quarantine.answered(INNOCENT, SERVICE, NOW);
+        quarantine.answered(HARMLESS, SERVICE, NOW);
         assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.CLEAR);
-        assertThat(told.get(told.size() - 1).cleared()).containsExactly(POISON);
-        assertThat(told).hasSize(2);
+        assertThat(reports.get(reports.size() - 1).cleared()).containsExactly(POISON);
+        assertThat(reports).hasSize(2);
     }
 
     @Test
-    void afterAPauseOneTryIsMadeAndOthersWaitForWhatBecomesOfIt() {
-        endTwice();
+    void afterTheQuarantineOneTrialIsMadeAndOtherRoutersWaitForItsOutcome() {
+        crashTwice();
         long later = NOW + SOON + MINUTE + 1;
         assertThat(quarantine.standing(POISON, SERVICE, later)).isEqualTo(Standing.ON_TRIAL);
         quarantine.sent(POISON, later);
         assertThat(quarantine.standing(POISON, SERVICE, later + 1)).isEqualTo(Standing.QUARANTINED);
 
         Quarantine other = quarantine(new ArrayList<>(), new ArrayList<>());
-        other.told(told.get(told.size() - 1), "first", later + 20);
+        other.told(reports.get(reports.size() - 1), "first", later + 20);
         assertThat(other.standing(POISON, SERVICE, later + 21)).isEqualTo(Standing.QUARANTINED);
         assertThat(other.standing(POISON, SERVICE, later + MINUTE)).isEqualTo(Standing.ON_TRIAL);
     }
 
     @Test
-    void aTryThatEndsAnotherEndpointMakesThePauseLonger() {
-        endTwice();
+    void aTrialThatCrashesAnotherEndpointLengthensTheQuarantine() {
+        crashTwice();
         long later = NOW + SOON + MINUTE + 1;
         quarantine.sent(POISON, later);
         quarantine.ended(SERVICE, 3, List.of(new AtWork(POISON, SOON)), later + 100);
@@ -120,42 +122,45 @@
     }
 
     @Test
-    void aTryThatIsAnsweredClearsIt() {
-        endTwice();
+    void aTrialThatIsAnsweredClearsTheRequest() {
+        crashTwice();
         quarantine.sent(POISON, NOW + SOON + MINUTE + 1);
         quarantine.answered(POISON, SERVICE, NOW);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + SOON + MINUTE + 2))
                 .isEqualTo(Standing.CLEAR);
-        assertThat(heard)
+        assertThat(calls)
                 .containsExactly("kept 1 with 2", "tried 1 after 2", "released 1")
                 .inOrder();
     }
 
     @Test
-    void whatWasRefusedAndThenAnsweredElsewhereIsClearAndItsRowIsRemoved() {
-        endTwice();
+    void aQuarantinedRequestAnsweredAtAnotherRouterIsClearedAndRemovedFromTheStore() {
+        crashTwice();
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 200).admitted()).isFalse();
         quarantine.told(new SuspectReport(List.of(), List.of(POISON)), "other", NOW + 300);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + 301)).isEqualTo(Standing.CLEAR);
-        assertThat(heard)
+        assertThat(calls)
                 .containsExactly(
                         "kept 1 with 2", "quarantined 1 after 2 by this router", "cleared 1 after 2", "released 1")
                 .inOrder();
     }
 
     @Test
-    void whatTheStoreHasKeptHoldsAndItsRowIsRemovedOnceItProvesHarmless() {
+    void aRequestRestoredFromTheStoreIsQuarantinedAndRemovedOnceAnswered() {
         List<Sighting> ends = List.of(new Sighting(1, 5_000, SOON), new Sighting(2, 4_000, SOON));
         quarantine.restored(List.of(new Suspect(POISON, ends, Suspect.NEVER_TRIED)), NOW);
         assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.QUARANTINED);
         assertThat(quarantine.standing(POISON, SERVICE, NOW + MINUTE)).isEqualTo(Standing.ON_TRIAL);
         quarantine.answered(POISON, SERVICE, NOW + MINUTE);
-        assertThat(heard).contains("released 1");
+        assertThat(calls).contains("released 1");
     }
 
-    /** On a service in trouble two ends in a row are met by accident; more are asked for, but never more than five. */
+    /**
+     * If the endpoints of a service crash often, a request meets two consecutive crashes by accident. More crashes are
+     * required then, but never more than five.
+     */
     @Test
-    void whereEndpointsOftenEndMoreEndsAreNeeded() {
+    void moreCrashesAreRequiredIfEndpointsCrashOften() {
         for (int body = 0; body < 200; body++) {
             quarantine.ended(SERVICE, 1_000 + body, List.of(new AtWork(request(2, body), SOON)), NOW);
             quarantine.answered(request(3, body), SERVICE, NOW);
@@ -170,9 +175,9 @@
     }
 
     @Test
-    void whatIsBelievedHasAnEnd() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(INNOCENT, SOON)), NOW);
-        endTwice();
+    void suspectsExpire() {
+        quarantine.ended(SERVICE, 1, List.of(new AtWork(HARMLESS, SOON)), NOW);
+        crashTwice();
         quarantine.tidy(NOW + 59 * MINUTE);
         assertThat(quarantine.all(NOW).suspects()).hasSize(2);
         quarantine.tidy(NOW + 63 * MINUTE);
@@ -180,31 +185,31 @@
     }
 
     @Test
-    void endsSeenByDifferentRoutersAddUp() {
-        Quarantine other = quarantine(heard, new ArrayList<>());
+    void crashesSeenByDifferentRoutersAreCombined() {
+        Quarantine other = quarantine(calls, new ArrayList<>());
         other.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + 900);
-        other.told(quarantineThatSawAnEnd().aged(950), "first", NOW + 950);
+        other.told(reportOfOneCrash().aged(950), "first", NOW + 950);
         assertThat(other.standing(POISON, SERVICE, NOW + 951)).isEqualTo(Standing.QUARANTINED);
-        assertThat(heard)
+        assertThat(calls)
                 .containsExactly("kept 1 with 2", "quarantined 1 after 2 by first")
                 .inOrder();
     }
 
     @Test
-    void aCallerWithManyRequestsDisplacesNobodyElses() {
-        RequestFingerprint others = request(2, 1);
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(others, SOON)), NOW);
-        for (int body = 0; body < 10 * Quarantine.MOST_SUSPECTS; body++) {
+    void manySuspectsOfOneWorkspaceDoNotEvictThoseOfAnother() {
+        RequestFingerprint ofOtherWorkspace = request(2, 1);
+        quarantine.ended(SERVICE, 1, List.of(new AtWork(ofOtherWorkspace, SOON)), NOW);
+        for (int body = 0; body < 10 * Quarantine.MAX_SUSPECTS; body++) {
             quarantine.ended(SERVICE, 100 + body, List.of(new AtWork(request(1, 10 + body), SOON)), NOW + body);
         }
-        assertThat(quarantine.standing(others, SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
-        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MOST_OF_WORKSPACE + 1);
+        assertThat(quarantine.standing(ofOtherWorkspace, SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
+        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS_OF_WORKSPACE + 1);
     }
 
     @Test
-    void whatHasMetMoreEndsIsKeptLonger() {
-        endTwice();
-        for (int body = 0; body < 2 * Quarantine.MOST_OF_WORKSPACE; body++) {
+    void suspectsWithFewerCrashesAreEvictedFirst() {
+        crashTwice();
+        for (int body = 0; body < 2 * Quarantine.MAX_SUSPECTS_OF_WORKSPACE; body++) {
             quarantine.ended(
                     "other service", 100 + body, List.of(new AtWork(request(1, 10 + body), SOON)), NOW + 10 + body);
         }
@@ -212,71 +217,71 @@
     }
 
     @Test
-    void manyWorkspacesTogetherStayWithinTheBound() {
-        for (int workspace = 0; workspace < 2 * Quarantine.MOST_SUSPECTS; workspace++) {
+    void theSuspectsOfManyWorkspacesStayWithinTheLimit() {
+        for (int workspace = 0; workspace < 2 * Quarantine.MAX_SUSPECTS; workspace++) {
             quarantine.ended(SERVICE, workspace, List.of(new AtWork(request(workspace, 1), SOON)), NOW);
         }
-        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MOST_SUSPECTS);
+        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS);
     }
 
     @Test
-    void ofOneEndOnlyTheYoungestAreSuspected() {
+    void onlyTheRequestsSentLastBeforeACrashAreSuspected() {
         List<AtWork> many = new ArrayList<>();
         for (int body = 0; body < 100; body++) {
             many.add(new AtWork(request(1, body), 10L * (100 - body)));
         }
         quarantine.ended(SERVICE, 1, many, NOW);
-        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MOST_OF_END);
+        assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS_OF_CRASH);
         assertThat(quarantine.standing(request(1, 99), SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
     }
 
-    private void endTwice() {
+    private void crashTwice() {
         quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
         quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + SOON);
     }
 
-    private static SuspectReport quarantineThatSawAnEnd() {
-        List<SuspectReport> told = new ArrayList<>();
-        quarantine(new ArrayList<>(), told).ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
-        return told.get(0);
+    private static SuspectReport reportOfOneCrash() {
+        List<SuspectReport> reports = new ArrayList<>();
+        quarantine(new ArrayList<>(), reports).ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
+        return reports.get(0);
     }
 
     private static RequestFingerprint request(long workspace, long body) {
         return new RequestFingerprint(workspace, 7, body);
     }
 
-    private static Quarantine quarantine(List<String> heard, List<SuspectReport> told) {
+    private static Quarantine quarantine(List<String> calls, List<SuspectReport> reports) {
         Quarantine created = new Quarantine(new Quarantine.Listener() {
             @Override
             public void quarantined(RequestFingerprint request, int ends, String origin) {
-                heard.add("quarantined " + request.body() + " after " + ends + " by " + origin);
+                calls.add("quarantined " + request.body() + " after " + ends + " by " + origin);
             }
 
             @Override
             public void tried(RequestFingerprint request, int ends) {
-                heard.add("tried " + request.body() + " after " + ends);
+                calls.add("tried " + request.body() + " after " + ends);
             }
 
             @Override
             public void cleared(RequestFingerprint request, int ends) {
-                heard.add("cleared " + request.body() + " after " + ends);
+                calls.add("cleared " + request.body() + " after " + ends);
             }
         });
         created.onNews(new SuspectListener() {
             @Override
             public void found(SuspectReport news) {
-                told.add(news);
+                reports.add(news);
             }
 
             @Override
             public void quarantined(Suspect suspect) {
-                heard.add("kept " + suspect.request().body() + " with "
+                calls.add("kept " + suspect.request().body() + " with "
                         + suspect.ends().size());
             }
 
             @Override
             public void released(RequestFingerprint request) {
-                heard.add("released " + request.body());
+                calls.add("released " + request.body());
             }
         });
         return created;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/RequestFingerprintTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/RequestFingerprintTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks which requests are the same, and that a log line does not give a body away. */
+/** Tests which requests have equal fingerprints, and that the text form in logs is shortened. */
 final class RequestFingerprintTest {
     private static final RequestFingerprint ONE = fingerprint("harbour-lab", "POST", "api", "/chat/?q=1", "hello");
 
     @Test
-    void theSameRequestHasTheSameFingerprintHoweverItsBodyCame() {
+    void equalRequestsHaveEqualFingerprintsHoweverTheirBodiesAreBuffered() {
         ByteBuf inParts = Unpooled.compositeBuffer()
                 .addComponent(true, bytes("he"))
                 .addComponent(true, bytes(""))
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whateverDiffersMakesAnotherRequest() {
+    void requestsThatDifferInOnePartHaveDifferentFingerprints() {
         List<RequestFingerprint> others = List.of(
                 fingerprint("met-service", "POST", "api", "/chat/?q=1", "hello"),
                 fingerprint("harbour-lab", "PUT", "api", "/chat/?q=1", "hello"),
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aWorkspaceHasAPartOfItsOwn() {
+    void theWorkspacePartDependsOnTheWorkspaceOnly() {
         assertThat(fingerprint("harbour-lab", "GET", "api", "/", "").workspace())
                 .isEqualTo(ONE.workspace());
         assertThat(fingerprint("", "POST", "api", "/chat/?q=1", "hello").workspace())
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void itsTextIsShort() {
+    void theTextFormShowsThirtyTwoBitsOfEachPart() {
         assertThat(ONE.toString()).matches("[0-9a-f]{8}-[0-9a-f]{8}-[0-9a-f]{8}");
     }
 
