--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/DataCentreDrain.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/DataCentreDrain.java
@@ -3,11 +3,12 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * Whether the operator wants nothing new to be sent to the endpoints of a data centre.
+ * An order of the operator to drain a data centre, or to end the draining. A drained data centre receives no new
+ * requests.
  *
  * @param dataCentre the data centre
- * @param position where in the store's history that was written; the latest holds
- * @param drained whether nothing new is to be sent there; false once that was taken back
+ * @param position the position in the store's history at which the order was written; the latest order applies
+ * @param drained true to drain the data centre, false to end the draining
  * @since 0.6.0
  */
 public record DataCentreDrain(DataCentre dataCentre, StorePosition position, boolean drained) {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/DirectoryOrigin.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/DirectoryOrigin.java
@@ -1,19 +1,20 @@
 package org.radishpass.routing.fleet;
 
 /**
- * Where a list of endpoints comes from, so that a placement can be explained afterwards.
+ * The origin of a list of endpoints, recorded so that the placement of a request can be explained afterwards.
  *
- * @param position the place in the store's history of the list
- * @param readAtMillis when the store was read for it at the earliest, on this router's monotonic clock in milliseconds
- * @param source who read it for this router: {@link #STORE}, or the id of a peer
- * @param settled whether endpoints that the reading lacked are left out; if not, they are kept for a while
+ * @param position the position in the store's history at which the list was read
+ * @param readAtMillis the earliest time at which the list can have been read, on this router's monotonic clock in
+ *     milliseconds
+ * @param source the reader of the list: {@link #STORE} for this router itself, or the id of a peer
+ * @param settled whether endpoints missing from the list have been removed; if not, they are kept for a while
  * @since 0.4.0
  */
 public record DirectoryOrigin(StorePosition position, long readAtMillis, String source, boolean settled) {
-    /** Says that this router read the store itself. */
+    /** The source of a list that this router read from the store itself. */
     public static final String STORE = "store";
 
-    /** Before anything is known. */
+    /** The origin before any list has been read. */
     public static final DirectoryOrigin UNKNOWN =
             new DirectoryOrigin(StorePosition.NONE, Long.MIN_VALUE / 2, "none", false);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 
 /**
- * The endpoints known at one moment, immutable.
+ * An immutable snapshot of the known endpoints, indexed by id and by service.
  *
  * @since 0.2.0
  */
 public final class EndpointDirectory {
-    /** No endpoints. */
+    /** A directory without endpoints. */
     public static final EndpointDirectory EMPTY = new EndpointDirectory(List.of());
 
     private final Map<String, ServiceEndpoint> byId = new HashMap<>();
@@ -21,7 +21,7 @@
     private final Map<String, List<ServiceEndpoint>> allByService = new HashMap<>();
 
     /**
-     * Creates a directory.
+     * Creates a directory of the given endpoints.
      *
      * @param endpoints the endpoints
      */
@@ -39,38 +39,38 @@
         }
     }
 
-    /** Returns all endpoints, those that leave included. */
+    /** Returns all endpoints, including draining endpoints. */
     public Collection<ServiceEndpoint> all() {
         return byId.values();
     }
 
-    /** Returns the number of endpoints, those that leave included. */
+    /** Returns the number of endpoints, including draining endpoints. */
     public int size() {
         return byId.size();
     }
 
     /**
-     * Returns the endpoints of a service that take new work.
+     * Returns the endpoints of a service that accept new requests, which excludes draining endpoints.
      *
-     * @param service the service
+     * @param service the name of the service
      */
     public List<ServiceEndpoint> open(String service) {
         return openByService.getOrDefault(service, List.of());
     }
 
     /**
-     * Returns the endpoints of a service, those that leave included.
+     * Returns all endpoints of a service, including draining endpoints.
      *
-     * @param service the service
+     * @param service the name of the service
      */
     public List<ServiceEndpoint> all(String service) {
         return allByService.getOrDefault(service, List.of());
     }
 
     /**
-     * Finds an endpoint.
+     * Finds an endpoint by its id.
      *
-     * @param id its id
+     * @param id the id of the endpoint
      */
     public Optional<ServiceEndpoint> find(String id) {
         return Optional.ofNullable(byId.get(id));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointEligibility.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointEligibility.java
@@ -5,26 +5,26 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * What keeps endpoints from new work, beside their own wish to leave; immutable.
+ * The conditions that restrict new requests to endpoints, other than the draining of single endpoints. Immutable.
  *
- * @param drained the data centres to which nothing new is sent
- * @param coldUntilMillis until when endpoints bear little because they have just started, by id, on the monotonic clock in milliseconds;
- *     others have been warm when this was published
- * @param regions where data centres stand
+ * @param drained the data centres to which no new requests are sent
+ * @param coldUntilMillis the end of the warm-up of endpoints that have just started, by endpoint id, on the monotonic
+ *     clock in milliseconds; endpoints without an entry were warm at the time of this snapshot
+ * @param regions the regions of the data centres
  * @since 0.6.0
  */
 public record EndpointEligibility(Set<DataCentre> drained, Map<String, Long> coldUntilMillis, RegionMap regions) {
-    /** Keeps nothing from any endpoint. */
+    /** Eligibility without any restriction. */
     public static final EndpointEligibility ALL = new EndpointEligibility(Set.of(), Map.of(), RegionMap.EMPTY);
 
-    /** Takes copies. */
+    /** Creates an eligibility with copies of the collections. */
     public EndpointEligibility {
         drained = Set.copyOf(drained);
         coldUntilMillis = Map.copyOf(coldUntilMillis);
     }
 
     /**
-     * Tells whether an endpoint has started so lately that it bears little.
+     * Tells whether an endpoint is still warming up after its start.
      *
      * @param endpoint the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetMembers.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetMembers.java
@@ -4,12 +4,13 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * The routers of the fleet as one of them knows them, for duties that are shared out without a word.
+ * The routers of the fleet as known to this router. Used to assign responsibilities to routers without exchanging
+ * messages.
  *
  * @since 0.6.0
  */
 public final class FleetMembers {
-    /** Nobody knows who else there is: no duty is this router's. */
+    /** The members while they are unknown: this router is responsible for nothing. */
     public static final FleetMembers UNKNOWN = new FleetMembers(false, 0, new long[0]);
 
     private final boolean known;
@@ -25,8 +26,8 @@
     /**
      * Returns the members of a fleet.
      *
-     * @param self this router's id
-     * @param others the ids of all others, those included that are suspected to be gone
+     * @param self the id of this router
+     * @param others the ids of all other routers, including those that may be gone
      */
     public static FleetMembers of(String self, Collection<String> others) {
         return new FleetMembers(
@@ -35,29 +36,29 @@
                 others.stream().mapToLong(Rendezvous::hash).toArray());
     }
 
-    /** Returns how many routers there are, this one included; 0 if that is not known. */
+    /** Returns the number of routers, including this router; 0 if unknown. */
     public int count() {
         return known ? others.length + 1 : 0;
     }
 
     /**
-     * Tells whether this router is one of the few that are responsible for something, by rendezvous: routers that know the same members
-     * agree on them.
+     * Tells whether this router is among the routers that are responsible for a subject. The routers are chosen by
+     * rendezvous hashing, so that routers that know the same members agree on the choice.
      *
-     * @param key the hash of what it is about
-     * @param few how many routers are responsible
+     * @param key the hash of the subject
+     * @param responsibleCount the number of responsible routers
      */
-    public boolean responsible(long key, int few) {
+    public boolean responsible(long key, int responsibleCount) {
         if (!known) {
             return false;
         }
         long own = Rendezvous.mix(key, self);
-        int before = 0;
+        int higherRanked = 0;
         for (long other : others) {
-            if (Rendezvous.mix(key, other) > own && ++before >= few) {
+            if (Rendezvous.mix(key, other) > own && ++higherRanked >= responsibleCount) {
                 return false;
             }
         }
-        return few > 0;
+        return responsibleCount > 0;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetRouter.java
@@ -5,36 +5,36 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * A router of the fleet, as it registered or introduced itself.
+ * A router of the fleet, as the router registered in the store or introduced itself to a peer.
  *
- * @param address where it listens for peers
- * @param dataCentre where it stands; {@link #UNLOCATED} for one that is known by its address only
- * @param cores the processor time that it may use, in cores
+ * @param address the address at which the router accepts connections from peers
+ * @param dataCentre the data centre of the router; {@link #UNLOCATED} if only the address is known
+ * @param cores the CPU capacity that the router may use, in cores
  * @since 0.3.0
  */
 public record FleetRouter(Address address, DataCentre dataCentre, double cores) {
-    /** Stands for a data centre that is not known yet. */
+    /** Placeholder for a data centre that is not known yet. */
     public static final DataCentre UNLOCATED = new DataCentre("unlocated");
 
-    /** The order in which routers are asked to do work for others: large ones first, then by address. */
+    /** The order in which routers are asked to work for others: by CPU capacity, largest first, then by id. */
     public static final Comparator<FleetRouter> BY_DUTY =
             Comparator.comparingDouble(FleetRouter::cores).reversed().thenComparing(FleetRouter::id);
 
     /**
      * Returns a router of which only the address is known.
      *
-     * @param address where it listens for peers
+     * @param address the address at which the router accepts connections from peers
      */
     public static FleetRouter unlocated(Address address) {
         return new FleetRouter(address, UNLOCATED, 0);
     }
 
-    /** Returns the name by which peers know it. */
+    /** Returns the id by which peers identify the router. */
     public String id() {
         return address.toString();
     }
 
-    /** Tells whether it is known where it stands. */
+    /** Tells whether the data centre of the router is known. */
     public boolean located() {
         return !dataCentre.equals(UNLOCATED);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
@@ -1,17 +1,20 @@
 package org.radishpass.routing.fleet;
 
 /**
- * One start of an endpoint that may start again under its name. Two starts of one name share nothing: what is believed of the earlier
- * one ends with it. Which of two is the later is told by the store's readings and never by the value, since wall clocks jump.
+ * Identifies one run of an endpoint that may restart under the same name. Two incarnations of one name share no state:
+ * all knowledge of the earlier incarnation is discarded. The store's readings tell which of two incarnations is the
+ * later one. The start times do not, since wall clocks can jump.
  *
- * @param startedAtMillis when it started, in Unix milliseconds on its own wall clock; negative where the endpoint does not say
+ * @param startedAtMillis the start time on the endpoint's own wall clock, in Unix milliseconds; negative if not stated
  * @since 0.4.0
  */
 public record Incarnation(long startedAtMillis) {
-    /** An endpoint that does not say when it started: its name changes with each start. */
+    /**
+     * The incarnation of an endpoint that does not state its start time; such an endpoint has a new name in each run.
+     */
     public static final Incarnation UNTOLD = new Incarnation(-1);
 
-    /** Tells whether the endpoint said when it started. */
+    /** Tells whether the endpoint has stated its start time. */
     public boolean told() {
         return startedAtMillis >= 0;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Region.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Region.java
@@ -1,13 +1,17 @@
 package org.radishpass.routing.fleet;
 
 /**
- * Names a region, in which data centres stand.
+ * A region, which contains data centres.
  *
- * @param name its name
+ * @param name the name of the region, not blank
  * @since 0.6.0
  */
 public record Region(String name) {
-    /** Checks the name. */
+    /**
+     * Creates a region.
+     *
+     * @throws IllegalArgumentException if the name is blank
+     */
     public Region {
         if (name.isBlank()) {
             throw new IllegalArgumentException("the name of a region must not be blank");
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/RegionMap.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/RegionMap.java
@@ -5,25 +5,25 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * The region of each data centre, from the settings.
+ * Maps data centres to their regions, as configured in the settings.
  *
- * @param byDataCentre the regions
+ * @param byDataCentre the region of each data centre
  * @since 0.6.0
  */
 public record RegionMap(Map<DataCentre, Region> byDataCentre) {
-    /** Knows no data centre. */
+    /** A map without data centres. */
     public static final RegionMap EMPTY = new RegionMap(Map.of());
 
-    /** Takes a copy. */
+    /** Creates a map with a copy of the entries. */
     public RegionMap {
         byDataCentre = Map.copyOf(byDataCentre);
     }
 
     /**
-     * Tells whether a data centre stands in one of the regions. One whose region is not known stands in none.
+     * Tells whether a data centre is in an allowed region. A data centre whose region is unknown is in no region.
      *
      * @param dataCentre the data centre
-     * @param allowed the regions; empty if all are allowed
+     * @param allowed the allowed regions; empty if all data centres are allowed
      */
     public boolean within(DataCentre dataCentre, Set<Region> allowed) {
         Region region = byDataCentre.get(dataCentre);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
@@ -5,20 +5,21 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * One start of an endpoint, as it registered itself. All that is believed of an endpoint is kept by {@link #id}, so that nothing of it
- * outlives this start: health, work in flight, cached prompts, connections, and that it leaves.
+ * One incarnation of an endpoint, as the endpoint registered itself. The router keeps all state of an endpoint by
+ * {@link #id}, so that no state outlives the incarnation: health, work in flight, cached prompts, connections and
+ * draining.
  *
- * @param id names this start
- * @param name the name under which the endpoint registered; another start may have the same
- * @param incarnation which start of that name it is
- * @param service the service that it answers for
- * @param address where it takes requests; reused by others once it has gone
- * @param dataCentre where it stands
- * @param slots the requests that it runs at once
- * @param leaving whether it finishes what it has and wants nothing new
- * @param hash the hash of its id for rendezvous
- * @param coldUntilStoreMillis until when it bears little because it has just started, on the store's clock in milliseconds;
- *     {@link #NEVER_COLD} if it did not say so
+ * @param id the unique id of this incarnation
+ * @param name the name under which the endpoint registered; shared by all incarnations of the endpoint
+ * @param incarnation the incarnation among those with the same name
+ * @param service the name of the service
+ * @param address the address at which the endpoint accepts requests; other endpoints may reuse it later
+ * @param dataCentre the data centre of the endpoint
+ * @param slots the number of requests that the endpoint runs concurrently
+ * @param leaving whether the endpoint is draining: it completes its requests and accepts no new ones
+ * @param hash the hash of the id for rendezvous hashing
+ * @param coldUntilStoreMillis the end of the warm-up, on the store's clock in milliseconds; {@link #NEVER_COLD} if the
+ *     endpoint has stated none
  * @since 0.2.0
  */
 public record ServiceEndpoint(
@@ -32,27 +33,27 @@
         boolean leaving,
         long hash,
         long coldUntilStoreMillis) {
-    /** Stands for an endpoint that has not been cold as far as is known. */
+    /** The end of the warm-up of an endpoint that has stated none. */
     public static final long NEVER_COLD = -1;
 
     private static final char SEPARATOR = '@';
 
-    /** Creates an endpoint that does not say when it started, and hashes its id. */
+    /** Creates an endpoint that states neither a start time nor a warm-up, and computes the hash of its id. */
     public ServiceEndpoint(
             String id, String service, Address address, DataCentre dataCentre, int slots, boolean leaving) {
         this(id, id, Incarnation.UNTOLD, service, address, dataCentre, slots, leaving, Rendezvous.hash(id), NEVER_COLD);
     }
 
-    /** Returns this endpoint when it wants nothing new. */
+    /** Returns a copy of this endpoint that is draining. */
     public ServiceEndpoint asLeaving() {
         return new ServiceEndpoint(
                 id, name, incarnation, service, address, dataCentre, slots, true, hash, coldUntilStoreMillis);
     }
 
     /**
-     * Returns this endpoint when it bears little until a moment.
+     * Returns a copy of this endpoint with another end of its warm-up.
      *
-     * @param storeMillis the moment, on the store's clock in milliseconds; {@link #NEVER_COLD} for none
+     * @param storeMillis the end of the warm-up, on the store's clock in milliseconds; {@link #NEVER_COLD} for none
      */
     public ServiceEndpoint coldUntil(long storeMillis) {
         return new ServiceEndpoint(
@@ -60,22 +61,22 @@
     }
 
     /**
-     * Returns this endpoint as a start of its own.
+     * Returns a copy of this endpoint with another incarnation and with the id that follows from it.
      *
-     * @param which the start
+     * @param newIncarnation the incarnation
      */
-    public ServiceEndpoint startedAs(Incarnation which) {
-        String startId = which.told() ? name + SEPARATOR + which.startedAtMillis() : name;
+    public ServiceEndpoint startedAs(Incarnation newIncarnation) {
+        String newId = newIncarnation.told() ? name + SEPARATOR + newIncarnation.startedAtMillis() : name;
         return new ServiceEndpoint(
-                startId,
+                newId,
                 name,
-                which,
+                newIncarnation,
                 service,
                 address,
                 dataCentre,
                 slots,
                 leaving,
-                Rendezvous.hash(startId),
+                Rendezvous.hash(newId),
                 coldUntilStoreMillis);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The endpoints that routed requests can be sent to.
+ * The endpoints to which requests can be routed, and the routers and data centres of the fleet.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
@@ -18,8 +18,8 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * An endpoint on loopback that answers each request with the bytes that a test gives it: so that any malformed, late or
- * broken answer can be played.
+ * An endpoint on the loopback interface that answers each request with bytes given by the test, so that a test can
+ * produce malformed, late and truncated responses.
  */
 public final class FakeEndpoint implements AutoCloseable {
     private static final int END_OF_HEAD = 4;
@@ -32,10 +32,10 @@
     private final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
 
     /**
-     * Starts an endpoint.
+     * Starts an endpoint that listens on a free port of the loopback interface.
      *
-     * @param id its id
-     * @param script answers requests
+     * @param id the id of the endpoint
+     * @param script writes the responses
      */
     public FakeEndpoint(String id, Script script) throws IOException {
         this.id = id;
@@ -44,13 +44,13 @@
         this.accepting = daemon(this::accept);
     }
 
-    /** Returns it as routers know it. */
+    /** Returns this endpoint as an entry of a router's endpoint directory. */
     public ServiceEndpoint endpoint(String service) {
         return new ServiceEndpoint(
                 id, service, new Address("127.0.0.1", server.getLocalPort()), new DataCentre("here"), 6, false);
     }
 
-    /** Waits for the next request that came in. */
+    /** Waits for the next request and removes it from the queue of received requests. */
     public Seen next() throws InterruptedException {
         Seen request = seen.poll(20, TimeUnit.SECONDS);
         if (request == null) {
@@ -59,17 +59,20 @@
         return request;
     }
 
-    /** Returns how many requests came in and were not waited for. */
+    /** Returns the number of received requests that {@link #next} has not returned yet. */
     public int unseen() {
         return seen.size();
     }
 
-    /** Tells whether it has been closed. */
+    /** Tells whether the endpoint has been closed. */
     public boolean closed() {
         return server.isClosed();
     }
 
-    /** While a thread still waits in accept, the kernel goes on taking connections: they are refused from its end on. */
+    /**
+     * Closes the endpoint, so that further connections are refused. Waits for the accepting thread, because the kernel
+     * continues to accept connections while a thread is blocked in accept.
+     */
     @Override
     public void close() throws IOException {
         server.close();
@@ -95,7 +98,7 @@
                 var unused = daemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // closed by the test
+            // the test has closed the server socket
         }
     }
 
@@ -110,7 +113,7 @@
                 script.answer(last, socket.getOutputStream());
             }
         } catch (IOException e) {
-            // the router, or the script, has ended the connection
+            // the router or the script has closed the connection
         } finally {
             if (last != null) {
                 last.gone.countDown();
@@ -153,21 +156,21 @@
         return thread;
     }
 
-    /** Answers a request with bytes. */
+    /** Writes the response to a request. */
     @FunctionalInterface
     public interface Script {
         /**
-         * Writes the answer, or ends the connection.
+         * Writes the response, or closes the connection.
          *
          * @param request the request
-         * @param out the connection
+         * @param out the output stream of the connection
          */
         void answer(Seen request, OutputStream out) throws IOException;
     }
 
-    /** A request that came in. */
+    /** A request that the endpoint has received. */
     public static final class Seen {
-        /** Counted down once the connection has ended. */
+        /** Counted down after the connection has been closed; counts for the last request of a connection only. */
         public final java.util.concurrent.CountDownLatch gone = new java.util.concurrent.CountDownLatch(1);
 
         private final boolean firstOnConnection;
@@ -182,7 +185,7 @@
             this.socket = socket;
         }
 
-        /** Tells whether no request came on its connection before. */
+        /** Tells whether this is the first request on its connection. */
         public boolean firstOnConnection() {
             return firstOnConnection;
         }
@@ -192,7 +195,7 @@
             return head.split("\r\n", -1)[0];
         }
 
-        /** Returns a header; empty if there is none. */
+        /** Returns the value of a header; empty if the header is absent. */
         public String header(String name) {
             return FakeEndpoint.header(head, name);
         }
@@ -202,7 +205,7 @@
             return body;
         }
 
-        /** Resets the connection. */
+        /** Closes the connection with a TCP reset. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeStore.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeStore.java
@@ -24,7 +24,7 @@
 import org.radishpass.routing.quarantine.Suspect;
 import reactor.core.publisher.Mono;
 
-/** A store in memory that several routers share; each reaches it by a link of its own, which a test can cut. */
+/** An in-memory store shared by several routers. Each router has its own link to the store, which a test can cut. */
 public final class FakeStore {
     private static final Duration PAUSE = Duration.ofMillis(20);
 
@@ -34,24 +34,24 @@
     private final Map<RequestFingerprint, Suspect> quarantined = new ConcurrentHashMap<>();
     private final AtomicLong revision = new AtomicLong(1);
 
-    /** Publishes a configuration. */
+    /** Publishes a configuration document and increments the revision. */
     public void publish(String newDocument) {
         document = newDocument;
         revision.incrementAndGet();
     }
 
-    /** Lists endpoints. */
+    /** Replaces the list of endpoints and increments the revision. */
     public void list(ServiceEndpoint... newEndpoints) {
         endpoints = List.of(newEndpoints);
         revision.incrementAndGet();
     }
 
-    /** Opens a router's link to the store. */
+    /** Returns a new link of a router to the store. */
     public Link link() {
         return new Link();
     }
 
-    /** One router's way to the store. */
+    /** The link of one router to the store. */
     public final class Link implements ControlSource {
         private final AtomicInteger waits = new AtomicInteger();
         private volatile boolean cut;
@@ -59,19 +59,19 @@
 
         private Link() {}
 
-        /** Cuts the link, or mends it. */
+        /** Cuts or restores the link. */
         public Link cut(boolean newCut) {
             cut = newCut;
             return this;
         }
 
-        /** Lets waits for a configuration hang without an answer, as on a connection that nobody serves any more. */
+        /** Sets whether waits for a configuration get no response, as on a connection whose remote side is gone. */
         public Link silentWaits(boolean newSilent) {
             silentWaits = newSilent;
             return this;
         }
 
-        /** Returns how many waits for a configuration were begun. */
+        /** Returns the number of waits for a configuration that have begun. */
         public int waits() {
             return waits.get();
         }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/PlainDialect.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/PlainDialect.java
@@ -11,33 +11,33 @@
 import org.radishpass.routing.dialect.RequestDialect;
 import org.radishpass.routing.dialect.RequestHead;
 
-/** A dialect with header names of its own, for tests. */
+/** A dialect for tests, with its own header names. */
 public final class PlainDialect implements RequestDialect {
-    /** Names a request. */
+    /** Header with the id of a request, in requests and responses. */
     public static final String ID = "X-Id";
 
-    /** Names the endpoint that alone may run a request. */
+    /** Header with the name of the only endpoint that may run the request. */
     public static final String ENDPOINT = "X-Endpoint";
 
-    /** Holds the milliseconds left. */
+    /** Header with the time left for the response, in milliseconds. */
     public static final String LEFT = "X-Left";
 
-    /** States that a request was not run. */
+    /** Header of a response which states that the request was not run. */
     public static final String NOT_RUN = "X-Not-Run";
 
-    /** Holds the event after which an answer is to go on. */
+    /** Header with the id of the event after which the response is to continue. */
     public static final String AFTER = "X-After";
 
-    /** Marks an answer whose signature was lost. */
+    /** Header that marks a response as unsigned. */
     public static final String UNSIGNED = "X-Unsigned";
 
-    /** States that the endpoint is draining. */
+    /** Header of a response which states that the endpoint is draining. */
     public static final String LEAVING = "X-Leaving";
 
-    /** Holds the milliseconds for which the endpoint is to be sent nothing. */
+    /** Header with the time for which the endpoint asks to be sent nothing, in milliseconds. */
     public static final String BACKOFF = "X-Backoff";
 
-    /** Names the workspace. */
+    /** Header with the name of the workspace. */
     public static final String WORKSPACE = "X-Workspace";
 
     @Override
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/StorePositions.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/StorePositions.java
@@ -2,7 +2,7 @@
 
 import org.radishpass.routing.fleet.StorePosition;
 
-/** Places in the history of a store that has never been restored. */
+/** Creates positions in the history of a store that has never been restored from a snapshot. */
 public final class StorePositions {
     private static final long FIRST_ERA = 1;
 
@@ -10,7 +10,7 @@
         // static methods only
     }
 
-    /** Returns the place at a revision. */
+    /** Returns the position at a revision in the first era. */
     public static StorePosition at(long revision) {
         return new StorePosition(FIRST_ERA, revision);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/TestCaller.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/TestCaller.java
@@ -7,32 +7,32 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A caller's connection, by bytes. */
+/** A caller with one TCP connection to a router, which sends and reads raw HTTP text. */
 public final class TestCaller implements AutoCloseable {
     private static final int PATIENCE_MILLIS = 20_000;
 
     private final Socket socket;
 
-    /** Connects. */
+    /** Connects to a router on the loopback interface. */
     public TestCaller(int port) throws IOException {
         this.socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(PATIENCE_MILLIS);
     }
 
-    /** Sends text. */
+    /** Sends a text. */
     public TestCaller send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         socket.getOutputStream().flush();
         return this;
     }
 
-    /** Sends a request. */
+    /** Sends a complete request with a body. */
     public TestCaller request(String method, String path, String id, String body) throws IOException {
         return send(method + " " + path + " HTTP/1.1\r\nHost: api\r\n" + PlainDialect.ID + ": " + id
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Reads up to and including a text. */
+    /** Reads up to and including a given text. */
     public String readUntil(String end) throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = socket.getInputStream();
@@ -46,7 +46,7 @@
         return text.toString();
     }
 
-    /** Reads the body that a head announces by its length. */
+    /** Reads the body whose length the Content-Length header of a head states; empty if there is no such header. */
     public String readBody(String head) throws IOException {
         for (String line : head.split("\r\n", -1)) {
             if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
@@ -58,7 +58,7 @@
         return "";
     }
 
-    /** Reads until the connection ends. */
+    /** Reads until the connection is closed; marks a connection reset at the end of the result. */
     public String readAll() throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = socket.getInputStream();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficBed.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficBed.java
@@ -30,12 +30,12 @@
 import org.radishpass.routing.traffic.TrafficServer;
 import reactor.netty.resources.LoopResources;
 
-/** A router's traffic side on loopback, with what it believes given by the test. */
+/** A test fixture with a router's traffic server on the loopback interface, whose routing view is set by the test. */
 public final class TrafficBed implements AutoCloseable {
-    /** The service of all routes. */
+    /** The name of the service of all routes. */
     public static final String SERVICE = "service";
 
-    /** What its endpoints bear shortly after their start: with the allowance that is set, this router alone sends two a second. */
+    /** The warm-up of the endpoints. With the default allowance, this router alone sends two requests per second. */
     private static final ColdStart COLD_START = new ColdStart(3_000, 4);
 
     private final LoopResources loops = LoopResources.create("bed", 1, 1, true, false);
@@ -46,7 +46,7 @@
     private int maxAttempts = 3;
     private long targetMillis = 1_000;
 
-    /** Starts a router that knows nothing yet. */
+    /** Starts a traffic server whose routing view is unknown. */
     public TrafficBed() throws Exception {
         server = new TrafficServer(
                 loops.onServer(false).next(),
@@ -61,19 +61,22 @@
         listening = server.serve(socket).get(20, TimeUnit.SECONDS);
     }
 
-    /** Sets the time within which answers should begin; before {@link #knows}. */
+    /** Sets the time within which responses should begin, in milliseconds; to be called before {@link #knows}. */
     public TrafficBed target(long millis) {
         targetMillis = millis;
         return this;
     }
 
-    /** Sets how many endpoints may run a request; before {@link #knows}. */
-    public TrafficBed attempts(int most) {
-        maxAttempts = most;
+    /** Sets the maximum number of endpoints that may run a request; to be called before {@link #knows}. */
+    public TrafficBed attempts(int max) {
+        maxAttempts = max;
         return this;
     }
 
-    /** Lets it know endpoints, and the routes /once/, /again/, /stream/ and /resume/ with a timeout. */
+    /**
+     * Sets a routing view with the given endpoints and the routes /once/, /again/, /stream/ and /resume/ with a
+     * timeout.
+     */
     public TrafficBed knows(long timeoutMillis, FakeEndpoint... endpoints) {
         List<ServiceEndpoint> known = new ArrayList<>();
         Arrays.stream(endpoints).forEach(endpoint -> known.add(endpoint.endpoint(SERVICE)));
@@ -89,7 +92,7 @@
         return this;
     }
 
-    /** Lets it know what keeps endpoints from new work. */
+    /** Changes the routing view to one with the given conditions for new requests to endpoints. */
     public TrafficBed restricts(EndpointEligibility eligibility) {
         RoutingView known = view;
         view = new RoutingView(
@@ -106,7 +109,7 @@
         return this;
     }
 
-    /** Lets it hear that there is a newer configuration, which comes within a while. */
+    /** Changes the routing view to one that expects a newer configuration within a time in milliseconds. */
     public TrafficBed hearsOfNewer(long withinMillis) {
         RoutingView known = view;
         view = new RoutingView(
@@ -123,20 +126,20 @@
         return this;
     }
 
-    /** Returns the time on the router's clock, in milliseconds. */
+    /** Returns the time on the traffic server's clock, in milliseconds. */
     public long nowMillis() {
         return MonotonicClock.SYSTEM.millis() + skippedMillis.get();
     }
 
-    /** Lets time pass at once for what the router reads from its clock; its timers do not notice. */
+    /** Advances the traffic server's clock. The timers of the event loop are not affected. */
     public void skip(long millis) {
         skippedMillis.addAndGet(millis);
     }
 
     /**
-     * Lets the traffic thread stand still, as where the process does not get the processor.
+     * Blocks the traffic thread, as if the process were not scheduled on a CPU. Returns once the thread is blocked.
      *
-     * @return lets it go on when it is closed
+     * @return an object whose close method releases the thread
      */
     public Standstill standStill() throws InterruptedException {
         Standstill standstill = new Standstill();
@@ -145,17 +148,17 @@
         return standstill;
     }
 
-    /** Returns the traffic side. */
+    /** Returns the traffic server. */
     public TrafficServer server() {
         return server;
     }
 
-    /** Connects a caller. */
+    /** Connects a new caller. */
     public TestCaller caller() throws java.io.IOException {
         return new TestCaller(((InetSocketAddress) listening.localAddress()).getPort());
     }
 
-    /** A time in which the traffic thread does nothing. */
+    /** A blockage of the traffic thread, which ends when this object is closed. */
     public static final class Standstill implements AutoCloseable {
         private final CountDownLatch begun = new CountDownLatch(1);
         private final CountDownLatch over = new CountDownLatch(1);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualProcess.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualProcess.java
@@ -6,48 +6,50 @@
 import reactor.core.Disposable;
 import reactor.core.scheduler.Scheduler;
 
-/** The tasks of one process in virtual time: it may stand still for a while, and ends with all that it had to do. */
+/**
+ * Scheduler of one simulated process in virtual time. The process can be frozen; when it ends, its tasks are dropped.
+ */
 public final class VirtualProcess implements Scheduler {
     private final VirtualScheduler scheduler;
-    private final Deque<Runnable> held = new ArrayDeque<>();
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
     private boolean frozen;
     private boolean ended;
 
     /**
-     * Starts a process.
+     * Creates a running process.
      *
-     * @param scheduler the time
+     * @param scheduler the scheduler that runs the tasks in virtual time
      */
     public VirtualProcess(VirtualScheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** Lets it stand still, or go on. */
-    public void frozen(boolean now) {
-        frozen = now;
-        while (!frozen && !held.isEmpty()) {
-            held.remove().run();
+    /** Freezes the process, or resumes it and runs the tasks that were due in the meantime. */
+    public void frozen(boolean newFrozen) {
+        frozen = newFrozen;
+        while (!frozen && !deferred.isEmpty()) {
+            deferred.remove().run();
         }
     }
 
-    /** Tells whether it is running. */
+    /** Tells whether the process is neither frozen nor ended. */
     public boolean running() {
         return !frozen && !ended;
     }
 
     @Override
     public Disposable schedule(Runnable task) {
-        return scheduler.schedule(inside(task));
+        return scheduler.schedule(deferIfFrozen(task));
     }
 
     @Override
     public Disposable schedule(Runnable task, long delay, TimeUnit unit) {
-        return scheduler.schedule(inside(task), delay, unit);
+        return scheduler.schedule(deferIfFrozen(task), delay, unit);
     }
 
     @Override
     public Disposable schedulePeriodically(Runnable task, long initialDelay, long period, TimeUnit unit) {
-        return scheduler.schedulePeriodically(inside(task), initialDelay, period, unit);
+        return scheduler.schedulePeriodically(deferIfFrozen(task), initialDelay, period, unit);
     }
 
     @Override
@@ -61,17 +63,17 @@
         return new Worker() {
             @Override
             public Disposable schedule(Runnable task) {
-                return worker.schedule(inside(task));
+                return worker.schedule(deferIfFrozen(task));
             }
 
             @Override
             public Disposable schedule(Runnable task, long delay, TimeUnit unit) {
-                return worker.schedule(inside(task), delay, unit);
+                return worker.schedule(deferIfFrozen(task), delay, unit);
             }
 
             @Override
             public Disposable schedulePeriodically(Runnable task, long initialDelay, long period, TimeUnit unit) {
-                return worker.schedulePeriodically(inside(task), initialDelay, period, unit);
+                return worker.schedulePeriodically(deferIfFrozen(task), initialDelay, period, unit);
             }
 
             @Override
@@ -84,7 +86,7 @@
     @Override
     public void dispose() {
         ended = true;
-        held.clear();
+        deferred.clear();
     }
 
     @Override
@@ -92,13 +94,13 @@
         return ended;
     }
 
-    private Runnable inside(Runnable task) {
+    private Runnable deferIfFrozen(Runnable task) {
         return () -> {
             if (ended) {
                 return;
             }
             if (frozen) {
-                held.add(task);
+                deferred.add(task);
             } else {
                 task.run();
             }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualScheduler.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualScheduler.java
@@ -9,7 +9,7 @@
 import reactor.core.Disposables;
 import reactor.core.scheduler.Scheduler;
 
-/** Runs tasks in the order of the moments at which they are due, on a clock that only a test moves. */
+/** Scheduler in virtual time: runs tasks in the order of their due times, on a clock that only the test advances. */
 public final class VirtualScheduler implements Scheduler {
     private final PriorityQueue<Task> tasks = new PriorityQueue<>(
             Comparator.<Task>comparingLong(task -> task.dueNanos).thenComparingLong(task -> task.number));
@@ -26,7 +26,7 @@
         return nowNanos;
     }
 
-    /** Lets time pass, and runs what is due meanwhile. */
+    /** Advances the virtual time, and runs the tasks that become due. */
     public void pass(Duration time) {
         long endNanos = nowNanos + time.toNanos();
         Task next = tasks.peek();
@@ -70,7 +70,7 @@
         return added;
     }
 
-    /** A task that is due at some moment, and perhaps again. */
+    /** A task that is due once, or periodically. */
     private final class Task implements Disposable {
         private final Runnable task;
         private final long periodNanos;
@@ -107,7 +107,7 @@
         }
     }
 
-    /** A view whose tasks end together. */
+    /** A worker whose tasks are disposed together. */
     private final class VirtualWorker implements Worker {
         private final Disposable.Composite own = Disposables.composite();
 
@@ -118,18 +118,18 @@
 
         @Override
         public Disposable schedule(Runnable task, long delay, TimeUnit unit) {
-            return kept(VirtualScheduler.this.schedule(task, delay, unit));
+            return addOwn(VirtualScheduler.this.schedule(task, delay, unit));
         }
 
         @Override
         public Disposable schedulePeriodically(Runnable task, long initialDelay, long period, TimeUnit unit) {
-            return kept(VirtualScheduler.this.schedulePeriodically(task, initialDelay, period, unit));
+            return addOwn(VirtualScheduler.this.schedulePeriodically(task, initialDelay, period, unit));
         }
 
-        private Disposable kept(@Nullable Disposable task) {
-            Disposable kept = java.util.Objects.requireNonNull(task);
-            own.add(kept);
-            return kept;
+        private Disposable addOwn(@Nullable Disposable task) {
+            Disposable added = java.util.Objects.requireNonNull(task);
+            own.add(added);
+            return added;
         }
 
         @Override
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/package-info.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/package-info.java
@@ -1,4 +1,4 @@
-/** Fakes written by hand: endpoints, a store and callers on loopback. */
+/** Test fixtures: fake endpoints, a fake store, callers on the loopback interface, and virtual time. */
 @NullMarked
 package org.radishpass.routing.testing;
 
