--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ArrivalQueue.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ArrivalQueue.java
@@ -7,89 +7,92 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whole requests that wait for the traffic thread, the newest first.
+ * Completely received requests that wait for the traffic event loop, last in first out.
  *
- * <p>While the thread keeps up, a request begins as soon as it is whole. After a restart, or in a surge beyond the processor,
- * more have come than it can begin at once: those that have just come can still be answered within their latency target, and
- * callers of the oldest have given up already. A caller that leaves is noticed between two passes; its request is then never
- * begun. Belongs to the traffic thread.
+ * <p>While the event loop keeps up, a request starts as soon as it is complete. After a restart, or in a load peak,
+ * more requests arrive than it can start at once. The newest can then still be answered within their latency target,
+ * whereas the callers of the oldest have mostly timed out. Closed connections are detected between two iterations of
+ * the event loop, and the requests of disconnected callers are never started. Confined to the traffic event loop.
  */
 final class ArrivalQueue {
     /**
-     * Requests that are begun in one pass of the thread over its connections: about 20 ms of work right after a start on a whole core, a
-     * tenth of that later, so that new requests and callers that left are seen in between.
+     * Maximum number of requests started in one iteration of the event loop. Starting them takes about 20 ms right
+     * after a process start with one full core, and a tenth of that later. The bound lets the event loop detect new
+     * requests and closed connections in between.
      */
-    static final int MOST_IN_PASS = 8;
+    static final int MAX_STARTS_PER_ITERATION = 8;
 
     /**
-     * Milliseconds of a pass after which no further request is begun in it. Right after a start on an eighth of a core eight requests take
-     * half a second. The store's answers come over the same thread, some 50 KB a pass: a configuration of 700 KB took several seconds so.
+     * Milliseconds after which no more requests are started in an iteration. Right after a process start, eight
+     * requests take half a second on an eighth of a core. The same event loop reads about 50 KB of store responses in
+     * each iteration, so without this bound a configuration of 700 KB took several seconds to load.
      */
-    static final long MOST_MILLIS_IN_PASS = 20;
+    static final long MAX_MILLIS_PER_ITERATION = 20;
 
-    private final Consumer<Runnable> afterNextPass;
+    private final Consumer<Runnable> afterNextIteration;
     private final LongSupplier clock;
     private final Deque<Arrival> waiting = new ArrayDeque<>();
-    private long passBeganAtMillis;
-    private int begun;
-    private boolean passDue;
+    private long iterationStartMillis;
+    private int startsInIteration;
+    private boolean iterationScheduled;
 
     /**
-     * Creates a queue.
+     * Creates an empty queue.
      *
-     * @param afterNextPass runs a task on the traffic thread once it has looked at its connections again
+     * @param afterNextIteration runs a task on the event loop after its next poll of the connections
      * @param clock the monotonic clock, in milliseconds
      */
-    ArrivalQueue(Consumer<Runnable> afterNextPass, LongSupplier clock) {
-        this.afterNextPass = afterNextPass;
+    ArrivalQueue(Consumer<Runnable> afterNextIteration, LongSupplier clock) {
+        this.afterNextIteration = afterNextIteration;
         this.clock = clock;
     }
 
-    /** Takes a request that is whole, and begins it now or later. */
+    /** Adds a complete request, and starts it now or in a later iteration. */
     void add(Arrival arrival) {
         waiting.addFirst(arrival);
-        beginSome();
+        startWaiting();
     }
 
-    /** Takes requests that have waited, the oldest first. */
+    /** Adds requests that have been held, the oldest first. */
     void addAll(List<Arrival> arrivals) {
         arrivals.forEach(waiting::addFirst);
-        beginSome();
+        startWaiting();
     }
 
-    private void pass() {
-        passDue = false;
-        begun = 0;
-        beginSome();
+    private void nextIteration() {
+        iterationScheduled = false;
+        startsInIteration = 0;
+        startWaiting();
     }
 
-    private void beginSome() {
-        while (!waiting.isEmpty() && hasTurn()) {
-            if (waiting.removeFirst().begin()) {
-                begun++;
+    private void startWaiting() {
+        while (!waiting.isEmpty() && mayStart()) {
+            if (waiting.removeFirst().start()) {
+                startsInIteration++;
             }
         }
-        if (begun > 0 && !passDue) {
-            passDue = true;
-            afterNextPass.accept(this::pass);
+        if (startsInIteration > 0 && !iterationScheduled) {
+            iterationScheduled = true;
+            afterNextIteration.accept(this::nextIteration);
         }
     }
 
-    private boolean hasTurn() {
-        if (begun == 0) {
-            passBeganAtMillis = clock.getAsLong();
+    private boolean mayStart() {
+        if (startsInIteration == 0) {
+            iterationStartMillis = clock.getAsLong();
             return true;
         }
-        return begun < MOST_IN_PASS && clock.getAsLong() - passBeganAtMillis < MOST_MILLIS_IN_PASS;
+        return startsInIteration < MAX_STARTS_PER_ITERATION
+                && clock.getAsLong() - iterationStartMillis < MAX_MILLIS_PER_ITERATION;
     }
 
-    /** A request that is whole. */
+    /** A completely received request. */
     interface Arrival {
         /**
-         * Begins the request.
+         * Starts the request.
          *
-         * @return false if its caller has left meanwhile
+         * @return false if the caller has disconnected
          */
-        boolean begin();
+        boolean start();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Attempt.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Attempt.java
@@ -10,46 +10,47 @@
 import org.radishpass.routing.placement.PlacementChoice;
 
 /**
- * One try of a request at one endpoint: its connection, its answer, and its share of the work in flight. What is to become
- * of the request is its owner's to decide; after the owner has heard of an end, nothing more comes.
+ * One attempt to execute a request at one endpoint. An attempt owns a connection, relays the response and is counted as
+ * a request in flight at its endpoint. The owner decides whether the request is retried. No call follows after the
+ * owner was notified of the end of the attempt.
  */
-final class Attempt implements AnswerListener, ConnectionTaker {
-    private final TrafficTools tools;
+final class Attempt implements ResponseListener, ConnectionCallback {
+    private final TrafficContext context;
     private final Owner owner;
     private final CallerConnection caller;
-    private final AnswerRelay relay;
+    private final ResponseRelay relay;
     private final ExchangeRecord record;
     private final ServiceEndpoint endpoint;
     private final @Nullable ServiceEndpoint cacheHolder;
     private final long tokens;
-    private final AnswerClock clock;
+    private final ResponseTimer responseTimer;
     private @Nullable EndpointConnection connection;
-    private boolean refused;
+    private boolean notExecuted;
     private int status;
     private long sentAtMillis;
-    private boolean tests;
-    private boolean over;
+    private boolean testsBackoffEnd;
+    private boolean ended;
 
     /**
-     * Starts an attempt; it counts as work in flight from here on.
+     * Creates an attempt and counts it as in flight at its endpoint.
      *
-     * @param tools the traffic thread's tools
-     * @param owner decides what becomes of the request
-     * @param caller gets the answer
-     * @param relay passes the answer on
-     * @param record the account of the request
-     * @param choice where it is to go
-     * @param tokens the tokens that it is counted with
+     * @param context the shared state of the traffic event loop
+     * @param owner decides what happens to the request
+     * @param caller the connection of the caller
+     * @param relay relays the response to the caller
+     * @param record the log record of the request
+     * @param choice the chosen endpoint
+     * @param tokens the tokens that the request is counted with at the endpoint
      */
     Attempt(
-            TrafficTools tools,
+            TrafficContext context,
             Owner owner,
             CallerConnection caller,
-            AnswerRelay relay,
+            ResponseRelay relay,
             ExchangeRecord record,
             PlacementChoice choice,
             long tokens) {
-        this.tools = tools;
+        this.context = context;
         this.owner = owner;
         this.caller = caller;
         this.relay = relay;
@@ -57,45 +58,48 @@
         this.endpoint = choice.endpoint();
         this.cacheHolder = choice.cacheHolder();
         this.tokens = tokens;
-        this.clock = new AnswerClock(tools, endpoint, record.terms().route(), () -> owner.overdue(this));
-        tools.book().started(endpoint.id(), tokens);
+        this.responseTimer = new ResponseTimer(context, endpoint, record.terms().route(), () -> owner.overdue(this));
+        context.inFlight().started(endpoint.id(), tokens);
     }
 
     ServiceEndpoint endpoint() {
         return endpoint;
     }
 
-    /** Returns another endpoint that probably holds more of the prompt, or null. */
+    /** Returns another endpoint that probably has more of the prompt in its cache, or null. */
     @Nullable
     ServiceEndpoint cacheHolder() {
         return cacheHolder;
     }
 
-    /** Notes that the request is sent now. */
-    void sent() {
-        tests = tools.signals().sent(endpoint);
+    /** Records that the request is being sent. */
+    void markSent() {
+        testsBackoffEnd = context.signals().requestSent(endpoint);
     }
 
-    /** Tells whether the request was sent and its answer is waited for. */
-    boolean atWork() {
-        return connection != null && !over;
+    /** Tells whether the attempt has a connection and has not ended. */
+    boolean awaitingResponse() {
+        return connection != null && !ended;
     }
 
-    /** Tells whether it ended because the endpoint had closed an idle connection, which says nothing of the endpoint. */
-    boolean keptConnectionWasClosed() {
+    /**
+     * Tells whether the attempt failed on a reused connection before any response. The endpoint probably closed an idle
+     * connection, which does not count as a failure of the endpoint.
+     */
+    boolean idleConnectionWasClosed() {
         return status == 0 && connection != null && connection.usedBefore();
     }
 
-    /** Lets more of the answer come, or holds it back. */
-    void reading(boolean wanted) {
+    /** Enables or disables reading of the response. */
+    void autoRead(boolean enabled) {
         if (connection != null) {
-            connection.reading(wanted);
+            connection.autoRead(enabled);
         }
     }
 
-    /** Ends the attempt; the endpoint stops to work on it when its connection closes. */
+    /** Ends the attempt and closes its connection, upon which the endpoint stops working on the request. */
     void stop() {
-        finish();
+        markEnded();
         EndpointConnection used = connection;
         connection = null;
         if (used != null) {
@@ -103,9 +107,9 @@
         }
     }
 
-    /** Ends the attempt before the request was sent; its connection can carry another one. */
+    /** Ends the attempt before the request was sent. The connection returns to the pool. */
     void withdraw() {
-        finish();
+        markEnded();
         EndpointConnection unused = connection;
         connection = null;
         if (unused != null) {
@@ -114,27 +118,27 @@
     }
 
     @Override
-    public void connected(EndpointConnection made) {
-        health().connected(tools.nowMillis());
-        if (over) {
-            made.release();
+    public void connected(EndpointConnection newConnection) {
+        health().connected(context.nowMillis());
+        if (ended) {
+            newConnection.release();
             return;
         }
-        connection = made;
-        sentAtMillis = tools.nowMillis();
-        owner.connected(this, made);
-        if (!over) {
-            clock.start(record.receivedAtMillis());
+        connection = newConnection;
+        sentAtMillis = context.nowMillis();
+        owner.connected(this, newConnection);
+        if (!ended) {
+            responseTimer.start(record.receivedAtMillis());
         }
     }
 
     @Override
-    public void unreachable(ConnectFailure failure) {
-        tools.watch().unreachable(endpoint, failure);
-        if (over) {
+    public void connectFailed(ConnectFailure failure) {
+        context.prober().connectFailed(endpoint, failure);
+        if (ended) {
             return;
         }
-        finish();
+        markEnded();
         record.attemptEnded("unreachable: " + failure.cause());
         owner.unreachable(this);
     }
@@ -142,115 +146,115 @@
     @Override
     public void head(HttpResponse response, AnswerHead head) {
         status = head.status();
-        record.headCame(tools.nowMillis(), head);
-        accepted(!head.notRun() && head.backoffMillis().isEmpty());
-        refused = head.notRun() || status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
-        if (refused) {
+        record.headReceived(context.nowMillis(), head);
+        reportBackoffTest(!head.notRun() && head.backoffMillis().isEmpty());
+        notExecuted = head.notRun() || status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
+        if (notExecuted) {
             return;
         }
         if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-            noteFailure();
-            if (owner.takesError(this, status)) {
+            recordFailure();
+            if (owner.handlesError(this, status)) {
                 return;
             }
         } else {
             health().succeeded();
-            clock.answered();
+            responseTimer.responseStarted();
         }
-        relay.head(response);
+        relay.relayHead(response);
     }
 
     @Override
     public void content(ByteBuf part) {
-        if (refused) {
+        if (notExecuted) {
             part.release();
             return;
         }
-        relay.content(part);
+        relay.relayContent(part);
         if (connection != null && !caller.writable()) {
-            connection.reading(false);
+            connection.autoRead(false);
         }
     }
 
     @Override
-    public void pause() {
+    public void readComplete() {
         relay.flush();
     }
 
     @Override
     public void completed() {
-        finish();
-        if (refused) {
-            owner.notRun(this, status);
+        markEnded();
+        if (notExecuted) {
+            owner.notExecuted(this, status);
         } else {
-            owner.answered(this, status);
+            owner.responseCompleted(this, status);
         }
     }
 
     @Override
-    public void broken(String cause) {
-        finish();
-        if (!keptConnectionWasClosed()) {
-            noteFailure();
+    public void failed(String cause) {
+        markEnded();
+        if (!idleConnectionWasClosed()) {
+            recordFailure();
         }
-        long nowMillis = tools.nowMillis();
+        long nowMillis = context.nowMillis();
         health().broke(nowMillis);
-        tools.ends().broke(endpoint, record.fingerprint(), nowMillis - sentAtMillis, nowMillis);
-        tools.watch().lookAt(endpoint);
-        owner.broken(this, cause);
+        context.exitDetector().responseFailed(endpoint, record.fingerprint(), nowMillis - sentAtMillis, nowMillis);
+        context.prober().probe(endpoint);
+        owner.responseFailed(this, cause);
     }
 
-    private void noteFailure() {
-        if (health().failed(tools.nowMillis())) {
-            tools.log().endpointFailing(endpoint);
+    private void recordFailure() {
+        if (health().failed(context.nowMillis())) {
+            context.requestLog().endpointFailing(endpoint);
         }
     }
 
-    private void accepted(boolean taken) {
-        if (tests) {
-            tests = false;
-            tools.signals().answered(endpoint, taken);
+    private void reportBackoffTest(boolean accepted) {
+        if (testsBackoffEnd) {
+            testsBackoffEnd = false;
+            context.signals().backoffTested(endpoint, accepted);
         }
     }
 
     private EndpointHealth health() {
-        return tools.health().of(endpoint.id(), tools.nowMillis());
+        return context.health().of(endpoint.id(), context.nowMillis());
     }
 
-    private void finish() {
-        if (!over) {
-            over = true;
-            clock.stop();
-            accepted(false);
-            tools.book().ended(endpoint.id(), tokens);
+    private void markEnded() {
+        if (!ended) {
+            ended = true;
+            responseTimer.stop();
+            reportBackoffTest(false);
+            context.inFlight().ended(endpoint.id(), tokens);
         }
     }
 
-    /** Decides what becomes of a request. */
+    /** Decides whether a request is retried, and ends it otherwise. */
     interface Owner {
-        /** There is a connection; the request can be sent. */
+        /** Called when a connection is available and the request can be sent. */
         void connected(Attempt attempt, EndpointConnection connection);
 
-        /** No connection could be made; nothing was sent. */
+        /** Called when no connection could be established. Nothing was sent. */
         void unreachable(Attempt attempt);
 
-        /** The answer takes far longer to begin than those of other endpoints. */
+        /** Called when the response is overdue compared with the usual response time of the route. */
         void overdue(Attempt attempt);
 
         /**
-         * The endpoint answers with an error of its own.
+         * Called when the endpoint responds with a server error.
          *
-         * @return whether the owner goes on without this answer; the attempt is then stopped
+         * @return whether the owner continues without this response, in which case the attempt has been stopped
          */
-        boolean takesError(Attempt attempt, int status);
+        boolean handlesError(Attempt attempt, int status);
 
-        /** The endpoint has proved that it did not run the request. */
-        void notRun(Attempt attempt, int status);
+        /** Called when the endpoint has proved that it did not execute the request. */
+        void notExecuted(Attempt attempt, int status);
 
-        /** The answer has come to its end. */
-        void answered(Attempt attempt, int status);
+        /** Called when the response is complete. */
+        void responseCompleted(Attempt attempt, int status);
 
-        /** The answer broke off before its end. */
-        void broken(Attempt attempt, String cause);
+        /** Called when the response failed before it was complete. */
+        void responseFailed(Attempt attempt, String cause);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffQueue.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffQueue.java
@@ -7,106 +7,120 @@
 import java.util.function.LongSupplier;
 
 /**
- * Requests that wait because all endpoints that could run them are in backoff, and one of them is expected to take them in time. The most
- * urgent is tried first; among equals the one that has waited longest. A plain object; belongs to the traffic thread.
+ * Requests that wait because every endpoint that could execute them is in backoff, and the first backoff is expected to
+ * end early enough for a response in time. The most urgent request is tried first, and among equally urgent requests
+ * the one that has waited longest. Not thread-safe; confined to the traffic event loop.
  */
 final class BackoffQueue {
-    /** Requests that wait at most; beyond that the service is overloaded for longer than a request can wait. */
-    static final int MOST_WAITING = 1_000;
+    /**
+     * Maximum number of waiting requests. A longer queue means that the service is overloaded for longer than a request
+     * can wait.
+     */
+    static final int MAX_WAITING = 1_000;
 
-    /** Requests that one look tries to place: those behind them would find the same endpoints in backoff. */
-    private static final int MOST_TRIED = 32;
+    /**
+     * Maximum number of requests that one check tries to send. The requests behind them would find the same endpoints
+     * in backoff.
+     */
+    private static final int MAX_TRIED_PER_CHECK = 32;
 
-    private static final Comparator<Waiting> MOST_URGENT_FIRST = Comparator.comparingInt(Waiting::urgency);
+    private static final Comparator<WaitingRequest> MOST_URGENT_FIRST =
+            Comparator.comparingInt(WaitingRequest::urgency);
 
     private final LongSupplier clock;
-    private final Consumer<Runnable> later;
-    private final List<Waiting> waiting = new ArrayList<>();
-    private boolean lookDue;
+    private final Consumer<Runnable> scheduler;
+    private final List<WaitingRequest> waiting = new ArrayList<>();
+    private boolean checkScheduled;
 
     /**
      * Creates an empty queue.
      *
      * @param clock the monotonic clock, in milliseconds
-     * @param later runs a task on the traffic thread after a moment
+     * @param scheduler runs a task on the event loop after a short delay
      */
-    BackoffQueue(LongSupplier clock, Consumer<Runnable> later) {
+    BackoffQueue(LongSupplier clock, Consumer<Runnable> scheduler) {
         this.clock = clock;
-        this.later = later;
+        this.scheduler = scheduler;
     }
 
     /**
-     * Lets a request wait.
+     * Adds a request to the queue.
      *
-     * @return whether there is room
+     * @return false if the queue is full
      */
-    boolean add(Waiting request) {
-        if (waiting.size() >= MOST_WAITING) {
+    boolean add(WaitingRequest request) {
+        if (waiting.size() >= MAX_WAITING) {
             return false;
         }
         waiting.add(request);
-        lookLater();
+        scheduleCheck();
         return true;
     }
 
-    /** Ceases to try a request. */
-    void remove(Waiting request) {
+    /** Removes a request from the queue. */
+    void remove(WaitingRequest request) {
         waiting.remove(request);
     }
 
-    /** Tells whether a request of the service waits that must not be overtaken by one of the given urgency. */
-    boolean holdsBefore(String service, int urgency) {
+    /**
+     * Tells whether a request to the service is waiting that is at least as urgent as the given urgency, and so must
+     * not be overtaken.
+     */
+    boolean hasWaitingAtLeastAsUrgent(String service, int urgency) {
         return waiting.stream().anyMatch(request -> request.service().equals(service) && request.urgency() <= urgency);
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the number of waiting requests. */
     int size() {
         return waiting.size();
     }
 
-    private void look() {
-        lookDue = false;
+    private void check() {
+        checkScheduled = false;
         long nowMillis = clock.getAsLong();
-        List<Waiting> inOrder = new ArrayList<>(waiting);
-        inOrder.sort(MOST_URGENT_FIRST);
+        List<WaitingRequest> byUrgency = new ArrayList<>(waiting);
+        byUrgency.sort(MOST_URGENT_FIRST);
         int tried = 0;
-        for (Waiting request : inOrder) {
-            if (request.startByMillis() < nowMillis) {
+        for (WaitingRequest request : byUrgency) {
+            if (request.latestSendMillis() < nowMillis) {
                 waiting.remove(request);
-                request.giveUp();
-            } else if (tried++ < MOST_TRIED && request.start()) {
+                request.expire();
+            } else if (tried++ < MAX_TRIED_PER_CHECK && request.trySend()) {
                 waiting.remove(request);
             }
         }
-        lookLater();
+        scheduleCheck();
     }
 
-    private void lookLater() {
-        if (!lookDue && !waiting.isEmpty()) {
-            lookDue = true;
-            later.accept(this::look);
+    private void scheduleCheck() {
+        if (!checkScheduled && !waiting.isEmpty()) {
+            checkScheduled = true;
+            scheduler.accept(this::check);
         }
     }
 
-    /** A request that waits. */
-    interface Waiting {
-        /** Returns the service that is to answer it. */
+    /** A waiting request. */
+    interface WaitingRequest {
+        /** Returns the service that the request is for. */
         String service();
 
-        /** Returns its rank; 0 is the most urgent. */
+        /** Returns the urgency; 0 is the most urgent. */
         int urgency();
 
-        /** Returns until when it has to be sent to be answered in time, on the monotonic clock in milliseconds. */
-        long startByMillis();
+        /**
+         * Returns the latest time at which the request can be sent and still be answered in time, on the monotonic
+         * clock in milliseconds.
+         */
+        long latestSendMillis();
 
         /**
-         * Sends it if an endpoint takes it now.
+         * Sends the request if an endpoint accepts it now.
          *
-         * @return whether it does not wait any more
+         * @return whether the request no longer waits
          */
-        boolean start();
+        boolean trySend();
 
-        /** Refuses it; it does not wait any more. */
-        void giveUp();
+        /** Refuses the request, which no longer waits. */
+        void expire();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffWait.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffWait.java
@@ -7,69 +7,76 @@
 import org.radishpass.routing.health.AnswerPatience;
 import org.radishpass.routing.placement.PlacementChoice;
 
-/** Whether one request waits while all endpoints that could run it are in backoff, and until when. */
-final class BackoffWait implements BackoffQueue.Waiting {
-    private final TrafficTools tools;
-    private final Terms terms;
+/** Decides whether one request waits while every endpoint that could execute it is in backoff, and for how long. */
+final class BackoffWait implements BackoffQueue.WaitingRequest {
+    private final TrafficContext context;
+    private final RequestTerms terms;
     private final SendHistory history;
     private final Owner owner;
-    private final long startByMillis;
+    private final long latestSendMillis;
 
     /**
-     * Finds out until when a request may wait.
+     * Computes the latest time at which the request can be sent and still be answered in time.
      *
-     * @param tools the traffic thread's tools
-     * @param terms its terms
-     * @param history where it was sent
-     * @param receivedAtMillis when it came in, on the monotonic clock in milliseconds
-     * @param owner goes on with the request
+     * @param context the shared state of the traffic event loop
+     * @param terms the terms of the request
+     * @param history the previous sends of the request
+     * @param receivedAtMillis when the request was received, on the monotonic clock in milliseconds
+     * @param owner continues the request after the wait
      */
-    BackoffWait(TrafficTools tools, Terms terms, SendHistory history, long receivedAtMillis, Owner owner) {
-        this.tools = tools;
+    BackoffWait(TrafficContext context, RequestTerms terms, SendHistory history, long receivedAtMillis, Owner owner) {
+        this.context = context;
         this.terms = terms;
         this.history = history;
         this.owner = owner;
         long targetMillis = terms.route().targetLatencyMillis();
-        long usualMillis = tools.patience().usualMillis(terms.route().name());
-        long answerMillis = usualMillis == AnswerPatience.UNKNOWN ? targetMillis / 2 : usualMillis;
-        this.startByMillis = Math.min(receivedAtMillis + targetMillis - answerMillis, terms.deadlineMillis());
+        long usualMillis = context.responseTimes().usualMillis(terms.route().name());
+        long expectedResponseMillis = usualMillis == AnswerPatience.UNKNOWN ? targetMillis / 2 : usualMillis;
+        this.latestSendMillis =
+                Math.min(receivedAtMillis + targetMillis - expectedResponseMillis, terms.deadlineMillis());
     }
 
-    /** Tells whether a choice would overtake a request that is as urgent, or more so, and waits for the same endpoints. */
+    /**
+     * Tells whether sending the request to the chosen endpoint would overtake a waiting request that is at least as
+     * urgent.
+     */
     boolean overtakes(PlacementChoice choice) {
-        return tools.signals().backoffs().recovering(choice.endpoint().id()) && othersWait();
+        return context.signals().backoffs().recovering(choice.endpoint().id()) && equallyUrgentRequestWaits();
     }
 
-    /** Tells whether it has no endpoint only because of backoffs. */
-    boolean inBackoff() {
-        return soonestEnd().isPresent() || othersWait();
+    /** Tells whether backoff is the only reason why no endpoint is available for the request. */
+    boolean backoffOnly() {
+        return earliestBackoffEnd().isPresent() || equallyUrgentRequestWaits();
     }
 
-    /** Returns when the first endpoint that could run it takes requests again, on the monotonic clock in milliseconds. */
-    long endMillis() {
-        return Math.max(tools.nowMillis(), soonestEnd().orElse(Long.MIN_VALUE));
+    /**
+     * Returns when the first endpoint that could execute the request leaves backoff, on the monotonic clock in
+     * milliseconds.
+     */
+    long earliestEndMillis() {
+        return Math.max(context.nowMillis(), earliestBackoffEnd().orElse(Long.MIN_VALUE));
     }
 
     /**
-     * Lets the request wait if it can still be answered in time then.
+     * Adds the request to the backoff queue if it can still be answered in time after the wait.
      *
-     * @return whether it waits
+     * @return whether the request waits
      */
-    boolean begin() {
-        return endMillis() <= startByMillis && tools.backoffQueue().add(this);
+    boolean enqueue() {
+        return earliestEndMillis() <= latestSendMillis && context.backoffQueue().add(this);
     }
 
-    /** Ends the wait, if there is one. */
+    /** Removes the request from the backoff queue if it waits there. */
     void cancel() {
-        tools.backoffQueue().remove(this);
+        context.backoffQueue().remove(this);
     }
 
-    private boolean othersWait() {
-        return tools.backoffQueue().holdsBefore(terms.service(), terms.urgency());
+    private boolean equallyUrgentRequestWaits() {
+        return context.backoffQueue().hasWaitingAtLeastAsUrgent(terms.service(), terms.urgency());
     }
 
-    private OptionalLong soonestEnd() {
-        return tools.placer().soonestBackoffEnd(terms, history.triedEndpoints());
+    private OptionalLong earliestBackoffEnd() {
+        return context.placer().earliestBackoffEnd(terms, history.triedEndpoints());
     }
 
     @Override
@@ -83,40 +90,40 @@
     }
 
     @Override
-    public long startByMillis() {
-        return startByMillis;
+    public long latestSendMillis() {
+        return latestSendMillis;
     }
 
     @Override
-    public boolean start() {
+    public boolean trySend() {
         @Nullable PlacementChoice choice = place().orElse(null);
-        if (choice == null || terms.full(choice)) {
+        if (choice == null || terms.atQueueLimit(choice)) {
             return false;
         }
-        tools.backoffQueue().remove(this);
-        owner.place(choice);
+        context.backoffQueue().remove(this);
+        owner.endpointAvailable(choice);
         return true;
     }
 
     @Override
-    public void giveUp() {
-        owner.refuseInBackoff(endMillis());
+    public void expire() {
+        owner.refuseInBackoff(earliestEndMillis());
     }
 
     private Optional<PlacementChoice> place() {
         List<String> tried = history.triedEndpoints();
-        return tools.placer().place(terms, tried, history.sends() > 0);
+        return context.placer().place(terms, tried, history.sends() > 0);
     }
 
-    /** Goes on with a request that has waited. */
+    /** Continues a request that has waited. */
     interface Owner {
-        /** An endpoint takes it. */
-        void place(PlacementChoice choice);
+        /** Called when an endpoint accepts the request. */
+        void endpointAvailable(PlacementChoice choice);
 
         /**
-         * It can't be answered in time any more.
+         * Called when the request can no longer be answered in time.
          *
-         * @param endMillis when the first endpoint takes requests again, on the monotonic clock in milliseconds
+         * @param endMillis when the first endpoint leaves backoff, on the monotonic clock in milliseconds
          */
         void refuseInBackoff(long endMillis);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerConnection.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerConnection.java
@@ -22,36 +22,34 @@
 import org.jspecify.annotations.Nullable;
 import org.radishpass.routing.dialect.MalformedHeadException;
 
-/**
- * One connection from a caller, which has one request in progress at a time; what a caller sends ahead waits.
- */
+/** A connection from a caller. One request is in progress at a time; pipelined requests wait until it has ended. */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements ArrivalQueue.Arrival {
-    /** Messages that a caller may send ahead before its connection is read no further. */
-    private static final int MOST_AHEAD = 64;
+    /** Maximum number of pipelined HTTP messages that are queued before reading from the connection is suspended. */
+    private static final int MAX_PIPELINED_MESSAGES = 64;
 
-    private final TrafficTools tools;
-    private final Deque<HttpObject> ahead = new ArrayDeque<>();
-    private final AnswerWriter answers;
-    private @Nullable ChannelHandlerContext context;
+    private final TrafficContext context;
+    private final Deque<HttpObject> pipelined = new ArrayDeque<>();
+    private final ResponseWriter responseWriter;
+    private @Nullable ChannelHandlerContext channelContext;
     private @Nullable RequestAssembly assembly;
-    private @Nullable RequestAssembly whole;
+    private @Nullable RequestAssembly completeRequest;
     private @Nullable Exchange exchange;
     private boolean closing;
     private boolean reading;
-    private boolean arrivalDue;
-    private long quietSinceMillis;
+    private boolean enqueueAfterRead;
+    private long inactiveSinceMillis;
 
-    CallerConnection(TrafficTools tools) {
-        this.tools = tools;
-        this.answers = new AnswerWriter(tools);
-        this.quietSinceMillis = tools.nowMillis();
+    CallerConnection(TrafficContext context) {
+        this.context = context;
+        this.responseWriter = new ResponseWriter(context);
+        this.inactiveSinceMillis = context.nowMillis();
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
-        this.context = ctx;
-        answers.added(ctx);
-        tools.callers().add(this);
+        this.channelContext = ctx;
+        responseWriter.handlerAdded(ctx);
+        context.callers().add(this);
     }
 
     @Override
@@ -62,8 +60,8 @@
             return;
         }
         if (busy()) {
-            ahead.addLast((HttpObject) message);
-            ctx.channel().config().setAutoRead(ahead.size() < MOST_AHEAD);
+            pipelined.addLast((HttpObject) message);
+            ctx.channel().config().setAutoRead(pipelined.size() < MAX_PIPELINED_MESSAGES);
             return;
         }
         accept((HttpObject) message);
@@ -72,28 +70,28 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         reading = false;
-        if (arrivalDue) {
-            arrivalDue = false;
-            arrive();
+        if (enqueueAfterRead) {
+            enqueueAfterRead = false;
+            enqueue();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         closing = true;
-        tools.callers().remove(this);
-        Exchange left = exchange;
+        context.callers().remove(this);
+        Exchange abandoned = exchange;
         exchange = null;
-        if (left != null) {
-            left.callerLeft();
+        if (abandoned != null) {
+            abandoned.callerDisconnected();
         }
-        dropInput();
+        discardInput();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (exchange != null) {
-            exchange.callerWritable(ctx.channel().isWritable());
+            exchange.callerWritabilityChanged(ctx.channel().isWritable());
         }
     }
 
@@ -111,11 +109,11 @@
     }
 
     /**
-     * Tells whether the caller has left, by a look at its socket now. The traffic thread sees a close only when it comes round to the
-     * socket again; in a pass of half a second, as after a start on an eighth of a core, two of three requests were sent on for callers
-     * whose close had been lying there since before.
+     * Tells whether the caller has disconnected, by reading from the socket now. The event loop otherwise detects a
+     * close only in its next iteration. In iterations of half a second, as after a process start on an eighth of a
+     * core, two out of three requests were forwarded for callers whose close was already waiting in the socket.
      */
-    boolean hasLeft() {
+    boolean hasDisconnected() {
         Channel channel = ctx().channel();
         boolean readable = channel.isActive() && channel.config().isAutoRead();
         if (readable && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
@@ -124,85 +122,90 @@
         return !channel.isActive();
     }
 
-    /** Tells whether no request is in progress or on its way in. */
+    /** Tells whether no request is in progress or being received. */
     boolean idle() {
         return !busy() && assembly == null;
     }
 
     private boolean busy() {
-        return exchange != null || whole != null;
+        return exchange != null || completeRequest != null;
     }
 
-    /** Returns since when nothing has gone on, on the monotonic clock in milliseconds. */
-    long quietSinceMillis() {
-        return quietSinceMillis;
+    /**
+     * Returns when the last request ended, or when the connection was opened, on the monotonic clock in milliseconds.
+     */
+    long inactiveSinceMillis() {
+        return inactiveSinceMillis;
     }
 
-    /** Tells whether a request has begun to come in and is not whole yet. */
+    /** Tells whether a request has been received in part. */
     boolean receiving() {
         return assembly != null;
     }
 
-    /** Closes the connection; a request in progress ends as if the caller had left. */
+    /** Closes the connection. A request in progress ends as if the caller had disconnected. */
     void close() {
         var unused = ctx().close();
     }
 
-    /** Sends the head of an answer whose body follows. */
-    void startAnswer(HttpResponse head) {
-        answers.start(head);
+    /** Sends the head of a response whose body follows. */
+    void startResponse(HttpResponse head) {
+        responseWriter.start(head);
     }
 
     /** Sends a part of the body and releases it. */
-    void answerContent(ByteBuf part) {
-        answers.content(part);
+    void responseContent(ByteBuf part) {
+        responseWriter.content(part);
     }
 
     void flush() {
         ctx().flush();
     }
 
-    /** Ends the answer whose head was sent. */
-    void finishAnswer() {
-        done();
-        goOn(answers.finish());
+    /** Ends the response whose head was sent. */
+    void finishResponse() {
+        exchangeFinished();
+        afterResponse(responseWriter.finish());
     }
 
-    /** Sends a whole answer of the router's own. */
-    void answer(HttpResponseStatus status, ByteBuf body, @Nullable String retryAfter) {
-        done();
-        goOn(answers.whole(status, body, retryAfter));
+    /** Sends a complete response that the router itself creates. */
+    void respond(HttpResponseStatus status, ByteBuf body, @Nullable String retryAfter) {
+        exchangeFinished();
+        afterResponse(responseWriter.writeComplete(status, body, retryAfter));
     }
 
-    private void goOn(boolean open) {
-        if (open) {
-            next();
+    private void afterResponse(boolean connectionOpen) {
+        if (connectionOpen) {
+            processPipelined();
         } else {
             closing = true;
         }
     }
 
-    /** Breaks off an answer in a way that cannot be taken for its end. */
+    /**
+     * Closes the connection in the middle of a response, in a way that the caller cannot mistake for the end of the
+     * response.
+     */
     void abort() {
-        done();
+        exchangeFinished();
         closing = true;
         close();
     }
 
     private ChannelHandlerContext ctx() {
-        return Objects.requireNonNull(context, "not yet added to a channel");
+        return Objects.requireNonNull(channelContext, "not yet added to a channel");
     }
 
-    private void done() {
+    private void exchangeFinished() {
         exchange = null;
-        quietSinceMillis = tools.nowMillis();
+        inactiveSinceMillis = context.nowMillis();
     }
 
-    private void next() {
-        while (!busy() && !closing && !ahead.isEmpty()) {
-            accept(ahead.removeFirst());
+    private void processPipelined() {
+        while (!busy() && !closing && !pipelined.isEmpty()) {
+            accept(pipelined.removeFirst());
         }
-        if (ahead.isEmpty() && !closing) {
+        if (pipelined.isEmpty() && !closing) {
             ctx().channel().config().setAutoRead(true);
         }
     }
@@ -214,7 +217,7 @@
             return;
         }
         if (message instanceof HttpRequest request) {
-            begin(request);
+            startAssembly(request);
         }
         RequestAssembly current = assembly;
         if (message instanceof HttpContent content) {
@@ -231,11 +234,11 @@
         }
     }
 
-    private void begin(HttpRequest request) {
-        answers.endsConnection(!HttpUtil.isKeepAlive(request));
+    private void startAssembly(HttpRequest request) {
+        responseWriter.closeAfterResponse(!HttpUtil.isKeepAlive(request));
         assembly = new RequestAssembly(
-                request, tools.nowMillis(), tools.view().limits().maxBodyBytes(), allocator());
-        if (assembly.announcedTooLarge()) {
+                request, context.nowMillis(), context.view().limits().maxBodyBytes(), allocator());
+        if (assembly.declaredTooLarge()) {
             refuseEarly(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is larger than the limit");
         } else if (HttpUtil.is100ContinueExpected(request)) {
             var unused =
@@ -245,44 +248,47 @@
 
     private void dispatch(RequestAssembly request) {
         assembly = null;
-        whole = request;
+        completeRequest = request;
         if (reading) {
-            arrivalDue = true; // its socket can be looked at once the reading is over
+            enqueueAfterRead = true; // hasDisconnected() must not read from the socket while a read is in progress
         } else {
-            arrive();
+            enqueue();
         }
     }
 
-    private void arrive() {
-        RequestAssembly request = whole;
+    private void enqueue() {
+        RequestAssembly request = completeRequest;
         if (request == null) {
             return;
         }
-        if (tools.held().holdsNow()) {
-            long patienceMillis = patienceMillis(request.request());
-            tools.held().add(this, HeldArrivals.deadlineMillis(request.receivedAtMillis(), patienceMillis));
+        if (context.heldArrivals().shouldHoldNow()) {
+            long timeoutMillis = callerTimeoutMillis(request.request());
+            context.heldArrivals().add(this, HeldArrivals.deadlineMillis(request.receivedAtMillis(), timeoutMillis));
         } else {
-            tools.arrivals().add(this);
+            context.arrivalQueue().add(this);
         }
     }
 
-    /** A request that cannot be read is refused once there is a configuration, as it would be later. */
-    private long patienceMillis(HttpRequest request) {
+    /**
+     * Returns how long the caller waits for a response. A malformed request is held without such a limit, and refused
+     * once the configuration is known.
+     */
+    private long callerTimeoutMillis(HttpRequest request) {
         try {
-            return tools.dialect().decode(request).patienceMillis().orElse(Long.MAX_VALUE);
+            return context.dialect().decode(request).patienceMillis().orElse(Long.MAX_VALUE);
         } catch (MalformedHeadException e) {
             return Long.MAX_VALUE;
         }
     }
 
     @Override
-    public boolean begin() {
-        RequestAssembly request = whole;
-        if (request == null || hasLeft()) {
+    public boolean start() {
+        RequestAssembly request = completeRequest;
+        if (request == null || hasDisconnected()) {
             return false;
         }
-        whole = null;
-        Exchange started = new Exchange(tools, this, request);
+        completeRequest = null;
+        Exchange started = new Exchange(context, this, request);
         exchange = started;
         started.begin();
         return true;
@@ -295,24 +301,27 @@
                 tooLong ? "the request head is larger than the limit" : "the request is malformed");
     }
 
-    /** Answers before the request is whole; what still comes in of it cannot be told from a next request. */
+    /**
+     * Refuses a request before it is complete. The connection is closed because the remaining bytes cannot be told
+     * apart from a next request.
+     */
     private void refuseEarly(HttpResponseStatus status, String detail) {
-        answers.endsConnection(true);
-        dropInput();
-        tools.log().refusedEarly(status.code(), detail);
-        answer(status, Refusals.body(allocator(), status.code(), detail), null);
+        responseWriter.closeAfterResponse(true);
+        discardInput();
+        context.requestLog().refusedEarly(status.code(), detail);
+        respond(status, Refusals.body(allocator(), status.code(), detail), null);
     }
 
-    private void dropInput() {
+    private void discardInput() {
         if (assembly != null) {
             assembly.release();
             assembly = null;
         }
-        if (whole != null) {
-            whole.release();
-            whole = null;
+        if (completeRequest != null) {
+            completeRequest.release();
+            completeRequest = null;
         }
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerSocket.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerSocket.java
@@ -6,15 +6,15 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The socket that callers connect to, opened before anything else in the process.
+ * The listening socket for callers, opened before anything else in the process.
  *
- * <p>From then on the kernel takes connections, and callers wait for the fraction of a second until the router serves
- * them. Without it they would be turned away meanwhile, and many ask only once more.
+ * <p>From then on the kernel accepts connections, and callers wait for the fraction of a second until the router serves
+ * them. Without it their connections would be refused, and many callers retry only once.
  *
  * @since 0.2.0
  */
 public final class CallerSocket {
-    /** Connections that may wait to be accepted: more than all callers of one entry VM. */
+    /** Maximum number of connections waiting to be accepted; larger than the number of all callers of one entry VM. */
     private static final int BACKLOG = 1_024;
 
     private final ServerSocketChannel channel;
@@ -26,8 +26,8 @@
     /**
      * Opens the socket.
      *
-     * @param address where callers connect
-     * @throws IOException if it cannot be opened
+     * @param address the address to listen on
+     * @throws IOException if the socket cannot be opened
      */
     public static CallerSocket open(InetSocketAddress address) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Returns the port that callers connect to.
+     * Returns the port that the socket listens on.
      *
      * @throws IOException if the socket is closed
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ColdEndpointGuard.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ColdEndpointGuard.java
@@ -9,39 +9,44 @@
 import org.radishpass.routing.load.SpareRoom;
 
 /**
- * Keeps endpoints that have just started from more requests than they bear: they crash beyond it. While those that are warm have room, they
- * get everything; a start takes seconds, and a request is answered sooner by a warm endpoint. Belongs to the traffic thread.
+ * Limits the requests to cold endpoints, which have just started and crash under too much load. While the warm
+ * endpoints have spare capacity they receive all requests, since a start takes seconds and a warm endpoint responds
+ * sooner. Confined to the traffic event loop.
  */
 final class ColdEndpointGuard {
     /**
-     * Milliseconds after a failed connection until a reading of the list shows whether the endpoint has become cold: it renews its entry
-     * every 1.2 s.
+     * Milliseconds after a failed connection until the endpoint list shows whether the endpoint has restarted and is
+     * cold; an endpoint renews its entry every 1.2 s.
      */
     private static final long ENTRY_LAG_MILLIS = 1_500;
 
-    /** The part of endpoints that may be suspected: where more cannot be reached, the fault is this router's. */
-    private static final double MOST_SUSPECTED = 0.5;
+    /**
+     * Largest share of the candidates that may be suspected of being cold. If more endpoints are unreachable, the fault
+     * is on the side of this router.
+     */
+    private static final double MAX_SUSPECTED_SHARE = 0.5;
 
-    private final TrafficTools tools;
+    private final TrafficContext context;
     private final ColdStartShares shares = new ColdStartShares();
 
-    ColdEndpointGuard(TrafficTools tools) {
-        this.tools = tools;
+    ColdEndpointGuard(TrafficContext context) {
+        this.context = context;
     }
 
     ColdStartShares shares() {
         return shares;
     }
 
-    /** Returns the candidates that may be given a request now. */
-    List<ServiceEndpoint> admitted(List<ServiceEndpoint> candidates, Terms terms, long nowMillis) {
+    /** Returns the candidates that may receive a request now. */
+    List<ServiceEndpoint> admitted(List<ServiceEndpoint> candidates, RequestTerms terms, long nowMillis) {
         ColdStart coldStart = terms.coldStart();
         if (coldStart == null) {
             return candidates;
         }
         List<ServiceEndpoint> warm = warm(candidates, coldStart, nowMillis);
-        boolean enough = warm.size() == candidates.size() || (!warm.isEmpty() && SpareRoom.at(warm, tools.book()));
-        if (enough) {
+        boolean warmSuffice =
+                warm.size() == candidates.size() || (!warm.isEmpty() && SpareRoom.at(warm, context.inFlight()));
+        if (warmSuffice) {
             return warm;
         }
         List<ServiceEndpoint> admitted = new ArrayList<>(warm);
@@ -54,14 +59,16 @@
     }
 
     /**
-     * Tells whether a request may be sent now to an endpoint that was chosen a while ago, and counts it if so.
+     * Tells whether a request may be sent now to an endpoint that was chosen earlier. If the endpoint is cold, the
+     * request counts against its limit.
      *
-     * @param endpoint the endpoint
-     * @param usable gives the endpoints among which it would be chosen now
-     * @param terms the request's terms
+     * @param endpoint the chosen endpoint
+     * @param usable supplies the endpoints that the request could be placed at now
+     * @param terms the terms of the request
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    boolean takes(ServiceEndpoint endpoint, Supplier<List<ServiceEndpoint>> usable, Terms terms, long nowMillis) {
+    boolean tryAdmit(
+            ServiceEndpoint endpoint, Supplier<List<ServiceEndpoint>> usable, RequestTerms terms, long nowMillis) {
         ColdStart coldStart = terms.coldStart();
         if (coldStart == null || !cold(endpoint, coldStart, nowMillis)) {
             return true;
@@ -77,7 +84,7 @@
     }
 
     private boolean admits(ServiceEndpoint endpoint, ColdStart coldStart, long nowMillis) {
-        return shares.admits(endpoint, coldStart, tools.view().members(), nowMillis);
+        return shares.admits(endpoint, coldStart, context.view().members(), nowMillis);
     }
 
     private List<ServiceEndpoint> warm(List<ServiceEndpoint> candidates, ColdStart coldStart, long nowMillis) {
@@ -86,30 +93,33 @@
         for (ServiceEndpoint endpoint : candidates) {
             if (mayHaveBecomeCold(endpoint, coldStart, nowMillis)) {
                 suspected.add(endpoint);
-            } else if (!saysCold(endpoint, nowMillis)) {
+            } else if (!listedAsCold(endpoint, nowMillis)) {
                 warm.add(endpoint);
             }
         }
-        if (suspected.size() > MOST_SUSPECTED * candidates.size()) {
+        if (suspected.size() > MAX_SUSPECTED_SHARE * candidates.size()) {
             suspected.stream()
-                    .filter(endpoint -> !saysCold(endpoint, nowMillis))
+                    .filter(endpoint -> !listedAsCold(endpoint, nowMillis))
                     .forEach(warm::add);
         }
         return warm;
     }
 
     private boolean cold(ServiceEndpoint endpoint, ColdStart coldStart, long nowMillis) {
-        return saysCold(endpoint, nowMillis) || mayHaveBecomeCold(endpoint, coldStart, nowMillis);
+        return listedAsCold(endpoint, nowMillis) || mayHaveBecomeCold(endpoint, coldStart, nowMillis);
     }
 
-    private boolean saysCold(ServiceEndpoint endpoint, long nowMillis) {
-        return tools.view().eligibility().cold(endpoint, nowMillis);
+    private boolean listedAsCold(ServiceEndpoint endpoint, long nowMillis) {
+        return context.view().eligibility().cold(endpoint, nowMillis);
     }
 
-    /** Who could not be connected to may have started anew, or come back cold, since its entry was read. */
+    /**
+     * Tells whether an endpoint may have restarted, or become reachable again while cold, after its list entry was
+     * read. That is possible after a failed connection.
+     */
     private boolean mayHaveBecomeCold(ServiceEndpoint endpoint, ColdStart coldStart, long nowMillis) {
-        long failedAtMillis = tools.health().of(endpoint.id(), nowMillis).unreachableAtMillis();
-        boolean lately = nowMillis - failedAtMillis < ENTRY_LAG_MILLIS + coldStart.millis();
-        return lately && tools.view().origin().readAtMillis() < failedAtMillis + ENTRY_LAG_MILLIS;
+        long failedAtMillis = context.health().of(endpoint.id(), nowMillis).unreachableAtMillis();
+        boolean recentlyFailed = nowMillis - failedAtMillis < ENTRY_LAG_MILLIS + coldStart.millis();
+        return recentlyFailed && context.view().origin().readAtMillis() < failedAtMillis + ENTRY_LAG_MILLIS;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ConnectFailure.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ConnectFailure.java
@@ -3,10 +3,11 @@
 import java.net.ConnectException;
 
 /**
- * Why a connection to an endpoint could not be made.
+ * The reason why a connection to an endpoint could not be established.
  *
- * @param cause for people
- * @param refused whether the endpoint's machine answered that nobody listens there: the process has ended, and is not merely cut off
+ * @param cause a human-readable description
+ * @param refused whether the machine of the endpoint refused the connection, which means that the process has exited
+ *     and is not merely unreachable
  */
 record ConnectFailure(String cause, boolean refused) {
     static ConnectFailure of(Throwable cause) {
@@ -15,7 +16,10 @@
         return new ConnectFailure(String.valueOf(cause), refused);
     }
 
-    /** The same exception also tells of a network that cannot be reached; only its text tells them apart. */
+    /**
+     * Tells whether the connection was refused. An unreachable network causes the same exception type, and only the
+     * message differs.
+     */
     private static boolean isRefusal(Throwable cause) {
         return String.valueOf(cause.getMessage()).contains("refused");
     }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ConnectionCallback.java
@@ -0,0 +1,10 @@
+package org.radishpass.routing.traffic;
+
+/** Receives a connection to an endpoint, or the reason why there is none. */
+interface ConnectionCallback {
+    /** Called with a connection that carries no request. */
+    void connected(EndpointConnection connection);
+
+    /** Called when no connection could be established. Nothing has been sent. */
+    void connectFailed(ConnectFailure failure);
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
@@ -16,26 +16,26 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * One connection to an endpoint, which carries one request at a time.
+ * A connection to an endpoint. One request is in flight at a time.
  *
- * <p>Bytes that come while no request is waiting, and answers to other requests, belong to nobody: the first end the
- * connection, the second are skipped.
+ * <p>Bytes that arrive while no request is in flight close the connection. A response with the id of another request is
+ * skipped.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
-    /** Milliseconds before the announced end of an idle connection from which it is not used any more. */
+    /** Milliseconds before the announced end of an idle connection from which on it is no longer used. */
     private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
-    /** How long an idle connection is kept where the endpoint does not say, in milliseconds. */
+    /** Milliseconds for which an idle connection is kept if the endpoint does not announce a keep-alive time. */
     private static final long DEFAULT_KEEP_ALIVE_MILLIS = 4_000;
 
     private final EndpointPool pool;
     private final Channel channel;
-    private @Nullable AnswerListener listener;
+    private @Nullable ResponseListener listener;
     private String requestId = "";
     private boolean usedBefore;
-    private boolean headSeen;
-    private boolean skipping;
-    private boolean closing;
+    private boolean headReceived;
+    private boolean skippingResponse;
+    private boolean closeAfterResponse;
     private long keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS;
     private long usableUntilMillis;
     private long usedAtMillis;
@@ -53,28 +53,31 @@
         return channel.isActive();
     }
 
-    /** Tells whether an idle connection can carry another request. */
+    /** Tells whether the idle connection can carry another request. */
     boolean reusable(long nowMillis) {
         return channel.isActive() && nowMillis < usableUntilMillis;
     }
 
-    /** Returns when it was last seen to work, on the monotonic clock in milliseconds. */
+    /** Returns when the connection was last known to work, on the monotonic clock in milliseconds. */
     long usedAtMillis() {
         return usedAtMillis;
     }
 
-    /** Tells whether it has carried a whole request and answer: its other end may have closed it since. */
+    /**
+     * Tells whether a complete request and response have been exchanged on the connection. The endpoint may have closed
+     * the connection since.
+     */
     boolean usedBefore() {
         return usedBefore;
     }
 
-    /** Writes a request. From here on it may run. */
-    void send(FullHttpRequest request, String id, AnswerListener answerListener) {
-        this.listener = answerListener;
+    /** Writes a request. From here on the endpoint may execute the request. */
+    void send(FullHttpRequest request, String id, ResponseListener responseListener) {
+        this.listener = responseListener;
         this.requestId = id;
-        this.headSeen = false;
-        this.skipping = false;
-        this.closing = false;
+        this.headReceived = false;
+        this.skippingResponse = false;
+        this.closeAfterResponse = false;
         var unused = channel.writeAndFlush(request).addListener(future -> {
             if (!future.isSuccess()) {
                 fail("write failed: " + future.cause());
@@ -82,21 +85,20 @@
         });
     }
 
-    /** Lets more of the answer come, or holds it back. */
-    void reading(boolean wanted) {
-        channel.config().setAutoRead(wanted);
+    /** Enables or disables reading of the response. */
+    void autoRead(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
-    /** Gives back a connection on which nothing was sent. */
+    /** Returns the connection to the pool. Called when nothing was sent on the connection. */
     void release() {
         if (!usedBefore) {
-            becomesIdle(); // that it was made just now is the proof that it works; one that was kept has given none
-            // since
+            markIdle(); // a new connection is known to work; a reused one may have been closed meanwhile
         }
         pool.idle(this);
     }
 
-    /** Ends the connection; the request on it, if any, hears nothing more. */
+    /** Closes the connection without notifying the listener of the request on it. */
     void close() {
         listener = null;
         var unused = channel.close();
@@ -104,7 +106,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        pool.heard();
+        pool.bytesReceived();
         if (listener == null) {
             ReferenceCountUtil.release(message);
             close();
@@ -112,7 +114,7 @@
         }
         if (((HttpObject) message).decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail("malformed answer: " + ((HttpObject) message).decoderResult().cause());
+            fail("malformed response: " + ((HttpObject) message).decoderResult().cause());
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -126,7 +128,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (listener != null) {
-            listener.pause();
+            listener.readComplete();
         }
     }
 
@@ -143,41 +145,41 @@
 
     private void head(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            skipping = true;
+            skippingResponse = true;
             return;
         }
         AnswerHead head = pool.dialect().decodeAnswer(response);
-        pool.answered(head);
+        pool.headReceived(head);
         if (!head.answers(requestId)) {
-            pool.foreignAnswer(requestId, head);
-            skipping = true;
+            pool.unmatchedResponse(requestId, head);
+            skippingResponse = true;
             return;
         }
         if (head.unprovenSuccess()) {
-            fail("a success without the endpoint's signature");
+            fail("successful response without the signature of the endpoint");
             return;
         }
-        headSeen = true;
-        skipping = false;
-        closing = head.closing();
+        headReceived = true;
+        skippingResponse = false;
+        closeAfterResponse = head.closing();
         keepAliveMillis = head.keepAliveMillis().orElse(DEFAULT_KEEP_ALIVE_MILLIS);
-        AnswerListener current = listener;
-        if (current != null) {
-            current.head(response, head);
+        ResponseListener activeListener = listener;
+        if (activeListener != null) {
+            activeListener.head(response, head);
         }
     }
 
     private void content(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        AnswerListener current = listener;
-        if (skipping || !headSeen || current == null) {
+        ResponseListener activeListener = listener;
+        if (skippingResponse || !headReceived || activeListener == null) {
             content.release();
-            skipping = skipping && !last;
+            skippingResponse = skippingResponse && !last;
             return;
         }
         ByteBuf part = content.content();
         if (part.isReadable()) {
-            current.content(part);
+            activeListener.content(part);
         } else {
             content.release();
         }
@@ -187,32 +189,32 @@
     }
 
     private void complete() {
-        AnswerListener done = listener;
+        ResponseListener completedListener = listener;
         listener = null;
         usedBefore = true;
-        becomesIdle();
+        markIdle();
         channel.config().setAutoRead(true);
-        if (closing) {
+        if (closeAfterResponse) {
             var unused = channel.close();
         } else {
             pool.idle(this);
         }
-        if (done != null) {
-            done.completed();
+        if (completedListener != null) {
+            completedListener.completed();
         }
     }
 
-    private void becomesIdle() {
+    private void markIdle() {
         usedAtMillis = pool.nowMillis();
         usableUntilMillis = usedAtMillis + Math.max(0, keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS);
     }
 
     private void fail(String cause) {
-        AnswerListener failed = listener;
+        ResponseListener failedListener = listener;
         listener = null;
         var unused = channel.close();
-        if (failed != null) {
-            failed.broken(cause);
+        if (failedListener != null) {
+            failedListener.failed(cause);
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnections.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnections.java
@@ -24,18 +24,18 @@
 import org.radishpass.routing.health.HealthBook;
 
 /**
- * All connections to endpoints. Belongs to the traffic thread.
+ * Establishes the connections to endpoints and owns the connection pools. Confined to the traffic event loop.
  *
  * @since 0.2.0
  */
 final class EndpointConnections {
     /**
-     * Milliseconds for a connection to be made. A lost opening packet is sent again after a second only, so waiting on is
-     * slower than another endpoint; within a region a connection takes under 10 ms.
+     * Connect timeout in milliseconds. A lost SYN packet is retransmitted only after a second, so another endpoint is
+     * the faster choice; within a region a connection takes less than 10 ms.
      */
     private static final int CONNECT_TIMEOUT_MILLIS = 350;
 
-    /** Seconds without bytes after which the kernel asks whether the other side is still there, and between questions. */
+    /** Seconds without received bytes before the first TCP keep-alive probe, and between probes. */
     private static final int KEEP_ALIVE_SECONDS = 1;
 
     private static final int KEEP_ALIVE_PROBES = 2;
@@ -49,7 +49,7 @@
     private final EndpointSignals signals;
     private final MonotonicClock clock;
     private final Counter opened;
-    private final Counter foreignAnswers;
+    private final Counter unmatchedResponses;
     private final Map<String, EndpointPool> pools = new HashMap<>();
     private final Set<String> retired = new HashSet<>();
 
@@ -67,7 +67,7 @@
         this.opened = Counter.builder("radishpass.endpoint.connections.opened")
                 .description("connections made to endpoints")
                 .register(metrics);
-        this.foreignAnswers = Counter.builder("radishpass.endpoint.foreign.answers")
+        this.unmatchedResponses = Counter.builder("radishpass.endpoint.foreign.answers")
                 .description("answers that belonged to no waiting request and were dropped")
                 .register(metrics);
         this.bootstrap = new Bootstrap()
@@ -102,24 +102,27 @@
                 endpoint.id(), id -> new EndpointPool(this, endpoint, health.of(id, clock.millis())));
     }
 
-    void connect(EndpointPool pool, ConnectionTaker taker) {
+    void connect(EndpointPool pool, ConnectionCallback callback) {
         InetSocketAddress address = new InetSocketAddress(
                 pool.endpoint().address().host(), pool.endpoint().address().port());
         ChannelFuture connecting = bootstrap.connect(address);
         connecting.addListener(future -> {
             if (!future.isSuccess()) {
-                taker.unreachable(ConnectFailure.of(future.cause()));
+                callback.connectFailed(ConnectFailure.of(future.cause()));
                 return;
             }
             opened.increment();
             EndpointConnection connection = new EndpointConnection(pool, connecting.channel());
             connecting.channel().pipeline().addLast(connection);
-            taker.connected(connection);
+            callback.connected(connection);
         });
     }
 
-    /** Closes idle connections to endpoints that have left, and those that the other side is about to close. */
-    void tidy(EndpointDirectory directory) {
+    /**
+     * Closes the idle connections to endpoints that are leaving or no longer listed, and those that the endpoint is
+     * about to close.
+     */
+    void closeUnusable(EndpointDirectory directory) {
         long nowMillis = clock.millis();
         retired.clear();
         pools.forEach((id, pool) -> {
@@ -135,15 +138,16 @@
         pools.keySet().removeIf(id -> directory.find(id).isEmpty());
     }
 
+    /** Tells whether connections to the endpoint are no longer pooled, because it is leaving or no longer listed. */
     boolean retired(String endpointId) {
         return retired.contains(endpointId) || !pools.containsKey(endpointId);
     }
 
-    void answered(ServiceEndpoint endpoint, AnswerHead head) {
-        signals.head(endpoint, head);
+    void headReceived(ServiceEndpoint endpoint, AnswerHead head) {
+        signals.headReceived(endpoint, head);
     }
 
-    void countForeignAnswer() {
-        foreignAnswers.increment();
+    void countUnmatchedResponse() {
+        unmatchedResponses.increment();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
@@ -7,8 +7,8 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * Which endpoints a request may go to, by what the operator wants and the endpoints themselves state: the one place that knows. First tries,
- * second tries, answers that go on elsewhere and the fetching of caches all choose among what it lets through.
+ * Selects the endpoints that a request may be sent to, by the configuration and by what the endpoints have stated in
+ * their responses. First attempts, retries, resumed streams and cache transfers all use this filter.
  */
 final class EndpointFilter {
     private final RoutingView view;
@@ -19,14 +19,17 @@
         this.signals = signals;
     }
 
-    /** Returns the endpoints of a service that are not leaving, also those that are sent nothing now for another reason. */
-    List<ServiceEndpoint> staying(String service) {
-        return those(view.directory().open(service), endpoint -> !leaving(endpoint));
+    /**
+     * Returns the endpoints of a service that are not leaving, including those that receive no requests now for another
+     * reason.
+     */
+    List<ServiceEndpoint> notLeaving(String service) {
+        return select(view.directory().open(service), endpoint -> !leaving(endpoint));
     }
 
     /**
-     * Tells whether an endpoint is leaving, by the list or by its own answers: the list learns it later, and not at all while the store is
-     * unavailable.
+     * Tells whether an endpoint is leaving, that is, shutting down, by the endpoint list or by its own responses. The
+     * list learns it later, and not at all while the store is unavailable.
      */
     boolean leaving(ServiceEndpoint endpoint) {
         boolean listed = view.directory()
@@ -36,43 +39,46 @@
         return listed || signals.leaving().contains(endpoint.id());
     }
 
-    /** Returns the endpoints of a service that take new work of anyone. */
+    /**
+     * Returns the endpoints of a service that accept new requests, regardless of the restrictions of a particular
+     * request.
+     */
     List<ServiceEndpoint> open(String service) {
-        return those(staying(service), endpoint -> notDrained(endpoint) && signals.admits(endpoint));
+        return select(notLeaving(service), endpoint -> notDrained(endpoint) && signals.admits(endpoint));
     }
 
-    /** Returns the endpoints that a request may be sent to. */
-    List<ServiceEndpoint> open(Terms terms) {
-        return those(staying(terms.service()), endpoint -> mayRun(terms, endpoint) && signals.admits(endpoint));
+    /** Returns the endpoints that the request may be sent to now. */
+    List<ServiceEndpoint> open(RequestTerms terms) {
+        return select(notLeaving(terms.service()), endpoint -> mayRun(terms, endpoint) && signals.admits(endpoint));
     }
 
-    /** Returns the endpoints that a request could be sent to, but that are in backoff. */
-    List<ServiceEndpoint> inBackoff(Terms terms) {
-        return those(staying(terms.service()), endpoint -> mayRun(terms, endpoint) && !signals.admits(endpoint));
+    /** Returns the endpoints that the request could be sent to if they were not in backoff. */
+    List<ServiceEndpoint> inBackoff(RequestTerms terms) {
+        return select(notLeaving(terms.service()), endpoint -> mayRun(terms, endpoint) && !signals.admits(endpoint));
     }
 
-    /** Returns the endpoints whose caches may be read for a request; those that take nothing new are among them. */
-    List<ServiceEndpoint> cacheSources(Terms terms) {
-        return those(view.directory().all(terms.service()), endpoint -> within(terms, endpoint));
+    /** Returns the endpoints whose caches may be read for the request, including those that accept no new requests. */
+    List<ServiceEndpoint> cacheSources(RequestTerms terms) {
+        return select(view.directory().all(terms.service()), endpoint -> inAllowedRegion(terms, endpoint));
     }
 
-    /** Tells whether an endpoint that was chosen a while ago may still be sent the request. */
-    boolean stillOpen(Terms terms, ServiceEndpoint chosen) {
+    /** Tells whether the request may still be sent to an endpoint that was chosen earlier. */
+    boolean stillEligible(RequestTerms terms, ServiceEndpoint chosen) {
         return view.directory()
                 .find(chosen.id())
                 .filter(endpoint -> !leaving(endpoint) && mayRun(terms, endpoint) && signals.admits(endpoint))
                 .isPresent();
     }
 
-    private boolean mayRun(Terms terms, ServiceEndpoint endpoint) {
-        return notDrained(endpoint) && within(terms, endpoint);
+    private boolean mayRun(RequestTerms terms, ServiceEndpoint endpoint) {
+        return notDrained(endpoint) && inAllowedRegion(terms, endpoint);
     }
 
     private boolean notDrained(ServiceEndpoint endpoint) {
         return !eligibility().drained().contains(endpoint.dataCentre());
     }
 
-    private boolean within(Terms terms, ServiceEndpoint endpoint) {
+    private boolean inAllowedRegion(RequestTerms terms, ServiceEndpoint endpoint) {
         return terms.mayRunIn(endpoint.dataCentre(), eligibility().regions());
     }
 
@@ -80,13 +86,13 @@
         return view.eligibility();
     }
 
-    private static List<ServiceEndpoint> those(List<ServiceEndpoint> all, Predicate<ServiceEndpoint> wanted) {
-        List<ServiceEndpoint> those = new ArrayList<>(all.size());
+    private static List<ServiceEndpoint> select(List<ServiceEndpoint> all, Predicate<ServiceEndpoint> condition) {
+        List<ServiceEndpoint> selected = new ArrayList<>(all.size());
         for (ServiceEndpoint endpoint : all) {
-            if (wanted.test(endpoint)) {
-                those.add(endpoint);
+            if (condition.test(endpoint)) {
+                selected.add(endpoint);
             }
         }
-        return those;
+        return selected;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointListener.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointListener.java
@@ -3,33 +3,34 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * Hears what answers tell of endpoints that the store may tell later, or never. Called on the traffic thread.
+ * Receives notifications about endpoints that follow from their responses, and that the store may report later or
+ * never. Called on the traffic event loop.
  *
  * @since 0.6.0
  */
 public interface EndpointListener {
-    /** Hears nothing. */
+    /** A listener that ignores all notifications. */
     EndpointListener NONE = new EndpointListener() {
         @Override
         public void gone(ServiceEndpoint endpoint) {
-            // nobody to tell
+            // ignored
         }
 
         @Override
         public void leaving(ServiceEndpoint endpoint) {
-            // nobody to tell
+            // ignored
         }
     };
 
     /**
-     * Another start has taken the endpoint's address.
+     * Called when another process has taken over the address of the endpoint.
      *
-     * @param endpoint the endpoint
+     * @param endpoint the endpoint that no longer exists
      */
     void gone(ServiceEndpoint endpoint);
 
     /**
-     * The endpoint has stated that it is leaving.
+     * Called when the endpoint has stated in a response that it is leaving.
      *
      * @param endpoint the endpoint
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
@@ -9,22 +9,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The connections to one endpoint. */
+/** The pool of connections to one endpoint. */
 final class EndpointPool {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointPool.class);
 
-    /** Idle connections kept for an endpoint: more than one router needs at once in steady traffic. */
-    private static final int MOST_IDLE = 24;
+    /** Maximum number of idle connections; larger than the number that one router needs at once under steady load. */
+    private static final int MAX_IDLE = 24;
 
     /**
-     * Milliseconds since a connection was last used up to which it may carry what cannot be sent again: endpoints may drop
-     * idle connections without a word. A new one proves first that the endpoint can be reached; it takes 1 ms, and costs less
-     * than a lost request.
+     * Milliseconds since the last use of a connection within which the connection may carry a request that cannot be
+     * retried. Endpoints may drop idle connections silently. A new connection proves first that the endpoint is
+     * reachable; it takes 1 ms and costs less than a lost request.
      */
-    private static final long SURE_MILLIS = 300;
+    private static final long NON_RETRYABLE_REUSE_MILLIS = 300;
 
-    /** Milliseconds since the endpoint was heard of up to which an idle connection may carry what can be sent again. */
-    private static final long LIKELY_MILLIS = 1_000;
+    /**
+     * Milliseconds since the last bytes from the endpoint within which an idle connection may carry a request that can
+     * be retried.
+     */
+    private static final long RETRYABLE_REUSE_MILLIS = 1_000;
 
     private final EndpointConnections connections;
     private final ServiceEndpoint endpoint;
@@ -49,53 +52,56 @@
         return connections.nowMillis();
     }
 
-    void heard() {
+    /** Records that bytes were received from the endpoint. */
+    void bytesReceived() {
         health.heard(nowMillis());
     }
 
     /**
-     * Gives a connection, an idle one if there is one.
+     * Provides a connection, preferably an idle one.
      *
-     * @param repeatable whether the request may be sent again if the endpoint closes an idle connection meanwhile
-     * @param taker takes the connection, or hears that there is none
+     * @param retryable whether the request can be sent again if the endpoint closes the idle connection meanwhile
+     * @param callback receives the connection, or the reason why there is none
      */
-    void acquire(boolean repeatable, ConnectionTaker taker) {
+    void acquire(boolean retryable, ConnectionCallback callback) {
         long nowMillis = nowMillis();
-        if (!mayReuse(repeatable, nowMillis)) {
-            connections.connect(this, taker);
+        if (!mayReuse(retryable, nowMillis)) {
+            connections.connect(this, callback);
             return;
         }
         for (EndpointConnection connection = idle.pollFirst(); connection != null; connection = idle.pollFirst()) {
             if (connection.reusable(nowMillis)) {
-                taker.connected(connection);
+                callback.connected(connection);
                 return;
             }
             connection.close();
         }
-        connections.connect(this, taker);
+        connections.connect(this, callback);
     }
 
-    private boolean mayReuse(boolean repeatable, long nowMillis) {
-        if (repeatable) {
-            return nowMillis - health.heardAtMillis() <= LIKELY_MILLIS;
+    private boolean mayReuse(boolean retryable, long nowMillis) {
+        if (retryable) {
+            return nowMillis - health.heardAtMillis() <= RETRYABLE_REUSE_MILLIS;
         }
         EndpointConnection newest = idle.peekFirst();
-        return newest != null && nowMillis - newest.usedAtMillis() <= SURE_MILLIS;
+        return newest != null && nowMillis - newest.usedAtMillis() <= NON_RETRYABLE_REUSE_MILLIS;
     }
 
-    /** Opens a connection: it shows that the endpoint can be reached. */
-    void open(ConnectionTaker taker) {
-        connections.connect(this, taker);
+    /** Opens a new connection, which proves that the endpoint is reachable. */
+    void connect(ConnectionCallback callback) {
+        connections.connect(this, callback);
     }
 
+    /** Returns a connection to the pool, or closes it if the pool is full or retired. */
     void idle(EndpointConnection connection) {
-        if (idle.size() >= MOST_IDLE || connections.retired(endpoint.id())) {
+        if (idle.size() >= MAX_IDLE || connections.retired(endpoint.id())) {
             connection.close();
             return;
         }
         idle.addFirst(connection);
     }
 
+    /** Removes a connection that was closed. */
     void closed(EndpointConnection connection) {
         idle.remove(connection);
     }
@@ -112,16 +118,16 @@
         }
     }
 
-    void answered(AnswerHead head) {
-        connections.answered(endpoint, head);
+    void headReceived(AnswerHead head) {
+        connections.headReceived(endpoint, head);
     }
 
-    void foreignAnswer(String waitingFor, AnswerHead head) {
-        connections.countForeignAnswer();
+    void unmatchedResponse(String expectedId, AnswerHead head) {
+        connections.countUnmatchedResponse();
         LOG.warn(
-                "endpoint {} answered request {} where {} was waited for; the answer is dropped",
+                "endpoint {} responded to request {} while {} was in flight; dropping the response",
                 endpoint.id(),
                 head.requestId(),
-                waitingFor);
+                expectedId);
     }
 }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointProber.java
@@ -0,0 +1,134 @@
+package org.radishpass.routing.traffic;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.radishpass.routing.fleet.ServiceEndpoint;
+import org.radishpass.routing.health.EndpointHealth;
+
+/**
+ * Probes endpoints in the background. A probe opens a connection, which finds out whether an endpoint that is down is
+ * reachable again, or whether a silent endpoint with requests in flight is still reachable. The connection is kept for
+ * later requests.
+ */
+final class EndpointProber {
+    /**
+     * Milliseconds without received bytes after which an endpoint with requests in flight is probed. Engines that
+     * execute requests send an event at least every 250 ms, and plain services respond within that time.
+     */
+    private static final long MAX_SILENCE_MILLIS = 400;
+
+    /**
+     * Milliseconds since the last bytes from an endpoint within which the endpoint is assumed to be reachable; about
+     * the time of one connection attempt.
+     */
+    private static final long RECENT_MILLIS = 300;
+
+    /**
+     * Like {@link #RECENT_MILLIS}, for endpoints in the data centre of an unreachable endpoint. Engines send events
+     * more often than this while requests are in flight.
+     */
+    private static final long RECENT_SAME_DATA_CENTRE_MILLIS = 80;
+
+    private final TrafficContext context;
+    private final Set<String> probing = new HashSet<>();
+
+    EndpointProber(TrafficContext context) {
+        this.context = context;
+    }
+
+    /** Probes every endpoint that is due for a probe or silent. */
+    void probeDue() {
+        long nowMillis = context.nowMillis();
+        for (ServiceEndpoint endpoint : context.view().directory().all()) {
+            EndpointHealth health = context.health().of(endpoint.id(), nowMillis);
+            if (health.takeProbe(nowMillis)) {
+                connect(endpoint, health);
+            } else if (silent(endpoint, health, nowMillis)) {
+                connect(endpoint, health);
+            }
+        }
+    }
+
+    /**
+     * Probes all endpoints from which no bytes were received recently. If one endpoint is unreachable, others may be
+     * too, most likely those in its data centre.
+     *
+     * @param unreachable the unreachable endpoint
+     */
+    void probeOthers(ServiceEndpoint unreachable) {
+        long nowMillis = context.nowMillis();
+        for (ServiceEndpoint endpoint : context.view().directory().all()) {
+            EndpointHealth health = context.health().of(endpoint.id(), nowMillis);
+            boolean sameDataCentre = endpoint.dataCentre().equals(unreachable.dataCentre());
+            long recentMillis = sameDataCentre ? RECENT_SAME_DATA_CENTRE_MILLIS : RECENT_MILLIS;
+            if (!health.down() && nowMillis - health.heardAtMillis() > recentMillis) {
+                health.doubt();
+                connect(endpoint, health);
+            }
+        }
+    }
+
+    /**
+     * Probes an endpoint whose response failed. If the endpoint refuses the connection, its process has exited and no
+     * request waits for it any longer.
+     *
+     * @param endpoint the endpoint
+     */
+    void probe(ServiceEndpoint endpoint) {
+        connect(endpoint, context.health().of(endpoint.id(), context.nowMillis()));
+    }
+
+    /**
+     * Records that no connection to an endpoint could be established.
+     *
+     * @param endpoint the endpoint
+     * @param failure the reason
+     */
+    void connectFailed(ServiceEndpoint endpoint, ConnectFailure failure) {
+        long nowMillis = context.nowMillis();
+        if (failure.refused()) {
+            context.exitDetector().connectionRefused(endpoint, nowMillis);
+        }
+        if (context.health().of(endpoint.id(), nowMillis).unreachable(nowMillis)) {
+            context.requestLog().endpointDown(endpoint, failure.cause());
+            probeOthers(endpoint);
+        }
+    }
+
+    private boolean silent(ServiceEndpoint endpoint, EndpointHealth health, long nowMillis) {
+        return !health.down()
+                && nowMillis - health.heardAtMillis() > MAX_SILENCE_MILLIS
+                && context.exchanges().stream()
+                        .anyMatch(exchange ->
+                                exchange.awaitsResponseLongerThan(endpoint.id(), MAX_SILENCE_MILLIS, nowMillis));
+    }
+
+    private void connect(ServiceEndpoint endpoint, EndpointHealth health) {
+        if (!probing.add(endpoint.id())) {
+            return;
+        }
+        context.connections().pool(endpoint).connect(new ConnectionCallback() {
+            @Override
+            public void connected(EndpointConnection connection) {
+                probing.remove(endpoint.id());
+                if (health.down()) {
+                    context.requestLog().endpointBack(endpoint);
+                }
+                health.connected(context.nowMillis());
+                connection.release();
+            }
+
+            @Override
+            public void connectFailed(ConnectFailure failure) {
+                probing.remove(endpoint.id());
+                EndpointProber.this.connectFailed(endpoint, failure);
+                List<Exchange> waiting = new ArrayList<>(context.exchanges());
+                waiting.stream()
+                        .filter(exchange -> exchange.awaitsResponseFrom(endpoint.id()))
+                        .forEach(Exchange::endpointUnreachable);
+            }
+        });
+    }
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
@@ -11,7 +11,10 @@
 import org.radishpass.routing.health.EndpointBackoffs;
 import org.radishpass.routing.health.LeavingEndpoints;
 
-/** Takes what endpoints state of themselves in the heads of their answers. Belongs to the traffic thread. */
+/**
+ * Processes what endpoints state about themselves in response heads: that they are leaving, or that they reject
+ * requests until a backoff ends. Confined to the traffic event loop.
+ */
 final class EndpointSignals {
     private final MonotonicClock clock;
     private final RequestLog log;
@@ -34,13 +37,14 @@
         this.rejections = Counter.builder("radishpass.endpoint.rejections")
                 .description("requests that endpoints rejected with Retry-After")
                 .register(metrics);
-        this.sendsWhileLeaving = sends("radishpass.endpoint.sends.leaving", "that had stated that they drain", metrics);
-        this.sendsInBackoff = sends("radishpass.endpoint.sends.backoff", "that were in backoff", metrics);
+        this.sendsWhileLeaving =
+                sendCounter("radishpass.endpoint.sends.leaving", "that had stated that they drain", metrics);
+        this.sendsInBackoff = sendCounter("radishpass.endpoint.sends.backoff", "that were in backoff", metrics);
         Gauge.builder("radishpass.endpoints.leaving", leaving, LeavingEndpoints::size)
                 .tag("source", "answer")
                 .description("listed endpoints that are draining, by where that is known from")
                 .register(metrics);
-        Gauge.builder("radishpass.endpoints.leaving", directory, listed -> leavingByList(listed.get()))
+        Gauge.builder("radishpass.endpoints.leaving", directory, listed -> countLeaving(listed.get()))
                 .tag("source", "list")
                 .description("listed endpoints that are draining, by where that is known from")
                 .register(metrics);
@@ -49,13 +53,13 @@
                 .register(metrics);
     }
 
-    private static Counter sends(String name, String to, MeterRegistry metrics) {
+    private static Counter sendCounter(String name, String to, MeterRegistry metrics) {
         return Counter.builder(name)
                 .description("requests that were sent to endpoints " + to)
                 .register(metrics);
     }
 
-    private static long leavingByList(EndpointDirectory directory) {
+    private static long countLeaving(EndpointDirectory directory) {
         return directory.all().stream().filter(ServiceEndpoint::leaving).count();
     }
 
@@ -67,8 +71,8 @@
         return backoffs;
     }
 
-    /** Takes the head of an answer, whatever request it belongs to. */
-    void head(ServiceEndpoint endpoint, AnswerHead head) {
+    /** Processes the head of a response, whichever request the response belongs to. */
+    void headReceived(ServiceEndpoint endpoint, AnswerHead head) {
         long nowMillis = clock.millis();
         if (head.leaving() && leaving.note(endpoint.id(), nowMillis)) {
             log.endpointLeaving(endpoint);
@@ -84,31 +88,31 @@
         }
     }
 
-    /** Tells whether an endpoint takes new requests of this router, as far as its rejections tell. */
+    /** Tells whether an endpoint accepts new requests of this router, as far as its rejections show. */
     boolean admits(ServiceEndpoint endpoint) {
         return backoffs.admits(endpoint.id(), clock.millis());
     }
 
     /**
-     * Counts a request that is sent now.
+     * Records that a request is being sent.
      *
-     * @return whether {@link #answered} is to be called for it
+     * @return whether the request tests the end of a backoff, so that {@link #backoffTested} must be called for it
      */
-    boolean sent(ServiceEndpoint endpoint) {
+    boolean requestSent(ServiceEndpoint endpoint) {
         return backoffs.sent(endpoint.id());
     }
 
-    /** Notes whether an endpoint that has been in backoff took a request. */
-    void answered(ServiceEndpoint endpoint, boolean accepted) {
+    /** Records whether an endpoint accepted the request that tested the end of its backoff. */
+    void backoffTested(ServiceEndpoint endpoint, boolean accepted) {
         backoffs.answered(endpoint.id(), accepted, clock.millis());
     }
 
     /**
-     * Counts a request that is sent although its endpoint has stated that it wants none.
+     * Counts a request that is being sent although its endpoint is leaving or in backoff.
      *
-     * @return what it has stated, for the request's account; empty if nothing
+     * @return what the endpoint has stated, as a suffix for the log record of the request; empty if nothing
      */
-    String statedAgainst(ServiceEndpoint endpoint) {
+    String countUnwantedSend(ServiceEndpoint endpoint) {
         long nowMillis = clock.millis();
         OptionalLong leavingSince = leaving.sinceMillis(endpoint.id());
         if (leavingSince.isPresent()) {
@@ -122,7 +126,7 @@
         return "";
     }
 
-    /** Forgets endpoints that are no longer listed. */
+    /** Removes endpoints that are no longer listed. */
     void retain(EndpointDirectory directory) {
         leaving.retain(directory);
         backoffs.retain(directory);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
@@ -16,41 +16,41 @@
 import org.radishpass.routing.quarantine.RequestFingerprint;
 
 /**
- * The life of one request: from when it is whole until its answer is whole, refused or broken off.
+ * Handles one request, from its complete reception until its response is complete, refused or aborted.
  *
- * <p>It is at one endpoint at a time. What may be said of it in the end is kept as a {@link Verdict}: a refusal that
- * promises that it has not run goes out only while the verdict is {@link Verdict#NOT_RUN}.
+ * <p>A request is at one endpoint at a time. A {@link Verdict} records whether the request may have been executed. A
+ * refusal that promises that the request was not executed is sent only while the verdict is {@link Verdict#NOT_RUN}.
  */
 final class Exchange implements Attempt.Owner, BackoffWait.Owner {
-    private final TrafficTools tools;
+    private final TrafficContext context;
     private final CallerConnection caller;
     private final HttpRequest request;
     private final ByteBuf body;
     private final ExchangeRecord record;
     private final SendHistory history = new SendHistory();
     private final ExchangeRefusal refusal;
-    private EndpointRisk risk;
-    private Terms terms = Terms.UNKNOWN;
-    private @Nullable AnswerRelay relay;
+    private QuarantineGuard quarantineGuard;
+    private RequestTerms terms = RequestTerms.UNKNOWN;
+    private @Nullable ResponseRelay relay;
     private @Nullable Attempt attempt;
-    private @Nullable BackoffWait wait;
-    private @Nullable Future<?> timer;
+    private @Nullable BackoffWait currentBackoffWait;
+    private @Nullable Future<?> deadlineTimer;
     private boolean ended;
 
-    Exchange(TrafficTools tools, CallerConnection caller, RequestAssembly assembly) {
-        this.tools = tools;
+    Exchange(TrafficContext context, CallerConnection caller, RequestAssembly assembly) {
+        this.context = context;
         this.caller = caller;
         this.request = assembly.request();
         this.body = assembly.body();
         this.record = new ExchangeRecord(assembly.receivedAtMillis());
-        this.refusal = new ExchangeRefusal(tools, caller, record, history, this::end);
-        this.risk = new EndpointRisk(tools, RequestFingerprint.UNKNOWN, terms.service());
-        tools.exchanges().add(this);
+        this.refusal = new ExchangeRefusal(context, caller, record, history, this::end);
+        this.quarantineGuard = new QuarantineGuard(context, RequestFingerprint.UNKNOWN, terms.service());
+        context.exchanges().add(this);
     }
 
-    /** Finds out what is to become of the request, and starts its first attempt. */
+    /** Resolves the request and starts the first attempt. */
     void begin() {
-        Resolution resolution = tools.resolver().resolve(request, tools.view(), record, tools.nowMillis());
+        Resolution resolution = context.resolver().resolve(request, context.view(), record, context.nowMillis());
         if (resolution instanceof Resolution.Refused refused) {
             refusal.refuse(refused.code(), refused.detail(), refused.delay().header());
         } else if (resolution instanceof Resolution.Resolved resolved) {
@@ -58,19 +58,20 @@
         }
     }
 
-    private void start(Terms resolved) {
+    private void start(RequestTerms resolved) {
         terms = resolved;
-        relay = new AnswerRelay(caller, terms.kind());
+        relay = new ResponseRelay(caller, terms.kind());
         record.terms(terms, fingerprint());
-        if (tools.ended() || (tools.refusing() && terms.kind().streams())) {
-            refusal.refuse(RefusalCode.NOT_READY, "this router is stopping", RetryDelay.ELSEWHERE.header());
+        if (context.stopped() || (context.refusingNew() && terms.kind().streams())) {
+            refusal.refuse(RefusalCode.NOT_READY, "this router is stopping", RetryDelay.OTHER_ROUTER.header());
             return;
         }
-        risk = new EndpointRisk(tools, record.fingerprint(), terms.service());
-        tools.budget().requested(terms.service(), tools.nowMillis());
-        long left = terms.leftMillis(tools.nowMillis());
-        timer = tools.loop().schedule(this::expired, Math.max(0, left), TimeUnit.MILLISECONDS);
-        attempt();
+        quarantineGuard = new QuarantineGuard(context, record.fingerprint(), terms.service());
+        context.retryBudget().requested(terms.service(), context.nowMillis());
+        long remainingMillis = terms.remainingMillis(context.nowMillis());
+        deadlineTimer =
+                context.loop().schedule(this::deadlineExpired, Math.max(0, remainingMillis), TimeUnit.MILLISECONDS);
+        placeAndAttempt();
     }
 
     private RequestFingerprint fingerprint() {
@@ -82,46 +83,46 @@
                 body);
     }
 
-    private void attempt() {
-        if (!risk.admitted()) {
+    private void placeAndAttempt() {
+        if (!quarantineGuard.admitted()) {
             giveUpQuarantined();
             return;
         }
-        Optional<PlacementChoice> choice = tools.placer().place(terms, history.triedEndpoints(), history.sends() > 0);
+        Optional<PlacementChoice> choice = context.placer().place(terms, history.triedEndpoints(), history.sends() > 0);
         if (choice.isEmpty() || backoffWait().overtakes(choice.get())) {
             waitOrGiveUp();
             return;
         }
-        if (terms.full(choice.get())) {
-            record.chosen(choice.get(), tools.view(), tools.nowMillis());
+        if (terms.atQueueLimit(choice.get())) {
+            record.chosen(choice.get(), context.view(), context.nowMillis());
             giveUp(RefusalCode.OVERLOADED, "every endpoint of the service is full");
             return;
         }
-        attempt(choice.get());
+        startAttempt(choice.get());
     }
 
     private BackoffWait backoffWait() {
-        BackoffWait current = wait;
+        BackoffWait current = currentBackoffWait;
         if (current == null) {
-            current = new BackoffWait(tools, terms, history, record.receivedAtMillis(), this);
-            wait = current;
+            current = new BackoffWait(context, terms, history, record.receivedAtMillis(), this);
+            currentBackoffWait = current;
         }
         return current;
     }
 
     private void waitOrGiveUp() {
         BackoffWait current = backoffWait();
-        boolean promised = !relay().started() && history.notRun();
-        if (!promised || !current.inBackoff()) {
+        boolean certainlyNotRun = !relay().started() && history.notRun();
+        if (!certainlyNotRun || !current.backoffOnly()) {
             giveUp(RefusalCode.NO_ENDPOINT, "no endpoint of the service is left to try");
-        } else if (!current.begin()) {
-            refuseInBackoff(current.endMillis());
+        } else if (!current.enqueue()) {
+            refuseInBackoff(current.earliestEndMillis());
         }
     }
 
     @Override
-    public void place(PlacementChoice choice) {
-        attempt(choice);
+    public void endpointAvailable(PlacementChoice choice) {
+        startAttempt(choice);
     }
 
     @Override
@@ -133,34 +134,36 @@
         giveUp(RefusalCode.QUARANTINED, "endpoints end when they run this request");
     }
 
-    private void attempt(PlacementChoice choice) {
-        record.chosen(choice, tools.view(), tools.nowMillis());
-        Attempt next = new Attempt(tools, this, caller, relay(), record, choice, terms.tokens());
+    private void startAttempt(PlacementChoice choice) {
+        record.chosen(choice, context.view(), context.nowMillis());
+        Attempt next = new Attempt(context, this, caller, relay(), record, choice, terms.maxTokens());
         attempt = next;
-        EndpointPool pool = tools.connections().pool(next.endpoint());
+        EndpointPool pool = context.connections().pool(next.endpoint());
         if (history.sends() > 0) {
-            pool.open(next);
+            pool.connect(next);
         } else {
             pool.acquire(terms.kind().mayRunAgain(), next);
         }
     }
 
-    private AnswerRelay relay() {
-        AnswerRelay current = relay;
+    private ResponseRelay relay() {
+        ResponseRelay current = relay;
         if (current == null) {
-            throw new IllegalStateException("an answer before the terms are known");
+            throw new IllegalStateException("a response was relayed before the request was resolved");
         }
         return current;
     }
 
-    /** The answer broke off, or was an error that another endpoint may do better. */
-    private void failedAtEndpoint(String cause) {
+    /**
+     * Retries the request after its response failed or was an error that another endpoint may not return, or gives up.
+     */
+    private void retryOrGiveUp(String cause) {
         record.attemptEnded(cause);
-        relay().dropPending();
-        boolean repeatable = terms.kind().mayRunAgain()
+        relay().discardPending();
+        boolean retryable = terms.kind().mayRunAgain()
                 && (!relay().started() || terms.kind().resumes());
-        if (repeatable && risk.mayBeRepeated() && mayRetry()) {
-            attempt();
+        if (retryable && quarantineGuard.mayBeRetried() && mayRetry()) {
+            placeAndAttempt();
         } else {
             giveUp(RefusalCode.ENDPOINT_FAILED, "the endpoint failed");
         }
@@ -168,15 +171,15 @@
 
     private boolean mayRetry() {
         return history.maySendAgain(terms.maxAttempts())
-                && terms.leftMillis(tools.nowMillis()) > 0
-                && tools.takeRetry(terms.service());
+                && terms.remainingMillis(context.nowMillis()) > 0
+                && context.trySpendRetry(terms.service());
     }
 
     private void giveUp(RefusalCode code, String detail) {
         refusal.giveUp(code, detail, relay().started());
     }
 
-    private void expired() {
+    private void deadlineExpired() {
         if (ended) {
             return;
         }
@@ -185,8 +188,8 @@
         giveUp(code, "the time for an answer is over");
     }
 
-    /** The caller has closed its connection: what runs for it is stopped. */
-    void callerLeft() {
+    /** Stops the attempt because the caller has closed its connection. */
+    void callerDisconnected() {
         if (ended) {
             return;
         }
@@ -195,33 +198,41 @@
         end();
     }
 
-    /** The caller reads again, or has stopped reading. */
-    void callerWritable(boolean writable) {
+    /** Resumes or suspends reading of the response when the connection of the caller becomes writable or not. */
+    void callerWritabilityChanged(boolean writable) {
         if (attempt != null) {
-            attempt.reading(writable);
+            attempt.autoRead(writable);
         }
     }
 
-    /** Tells whether bytes of its endpoint are waited for. */
-    boolean waitsFor(String endpointId) {
-        return attempt != null && attempt.endpoint().id().equals(endpointId) && attempt.atWork();
+    /** Tells whether a response from the endpoint is awaited. */
+    boolean awaitsResponseFrom(String endpointId) {
+        return attempt != null && attempt.endpoint().id().equals(endpointId) && attempt.awaitingResponse();
     }
 
-    /** Tells whether its endpoint has been waited for so long. */
-    boolean waitsLonger(String endpointId, long millis, long nowMillis) {
-        return waitsFor(endpointId) && history.sentMillisAgo(nowMillis) > millis;
+    /** Tells whether a response from the endpoint has been awaited for longer than the given time. */
+    boolean awaitsResponseLongerThan(String endpointId, long millis, long nowMillis) {
+        return awaitsResponseFrom(endpointId) && history.millisSinceLastSend(nowMillis) > millis;
     }
 
-    /** The endpoint can no longer be reached: what may run again is tried elsewhere, the rest waits on. */
+    /**
+     * Retries the request at another endpoint because its endpoint is unreachable. A request that must not be executed
+     * twice keeps waiting.
+     */
     void endpointUnreachable() {
         if (ended || attempt == null || !terms.kind().mayRunAgain()) {
             return;
         }
         ServiceEndpoint endpoint = attempt.endpoint();
-        tools.ends().broke(endpoint, record.fingerprint(), history.sentMillisAgo(tools.nowMillis()), tools.nowMillis());
+        context.exitDetector()
+                .responseFailed(
+                        endpoint,
+                        record.fingerprint(),
+                        history.millisSinceLastSend(context.nowMillis()),
+                        context.nowMillis());
         stopAttempt();
-        risk.brokeAt(endpoint);
-        failedAtEndpoint("the endpoint cannot be reached any more");
+        quarantineGuard.responseFailed(endpoint);
+        retryOrGiveUp("the endpoint cannot be reached any more");
     }
 
     private void withdrawAttempt() {
@@ -243,19 +254,19 @@
 
     private void end() {
         ended = true;
-        Future<?> running = timer;
+        Future<?> running = deadlineTimer;
         if (running != null) {
             running.cancel(false);
         }
         body.release();
-        if (wait != null) {
-            wait.cancel();
+        if (currentBackoffWait != null) {
+            currentBackoffWait.cancel();
         }
         if (relay != null) {
-            relay.dropPending();
+            relay.discardPending();
         }
-        tools.exchanges().remove(this);
-        tools.log().finished(record, tools.nowMillis());
+        context.exchanges().remove(this);
+        context.requestLog().finished(record, context.nowMillis());
     }
 
     @Override
@@ -265,21 +276,24 @@
         }
     }
 
-    /** Looks once more whether the request is still wanted, in time and welcome; what is to become of it if not has been seen to. */
+    /**
+     * Checks again whether the request may be sent: the caller is connected, the deadline has not passed, and the
+     * endpoint accepts the request. Otherwise ends the attempt and retries or ends the request.
+     */
     private boolean maySend(ServiceEndpoint endpoint) {
-        if (caller.hasLeft()) {
+        if (caller.hasDisconnected()) {
             withdrawAttempt();
-            callerLeft();
-        } else if (terms.leftMillis(tools.nowMillis()) <= 0) {
+            callerDisconnected();
+        } else if (terms.remainingMillis(context.nowMillis()) <= 0) {
             withdrawAttempt();
-            expired();
-        } else if (!risk.admitted()) {
+            deadlineExpired();
+        } else if (!quarantineGuard.admitted()) {
             withdrawAttempt();
             giveUpQuarantined();
-        } else if (!tools.placer().stillOpen(terms, endpoint)) {
+        } else if (!context.placer().stillEligible(terms, endpoint)) {
             withdrawAttempt();
-            record.attemptEnded("the endpoint takes nothing new");
-            attempt();
+            record.attemptEnded("the endpoint accepts no new requests");
+            placeAndAttempt();
         } else {
             return true;
         }
@@ -287,30 +301,33 @@
     }
 
     private void send(Attempt current, EndpointConnection connection) {
-        long nowMillis = tools.nowMillis();
+        long nowMillis = context.nowMillis();
         history.sent(nowMillis);
-        record.sent(nowMillis, tools.signals().statedAgainst(current.endpoint()));
-        risk.sent();
-        current.sent();
-        terms.prompt().ifPresent(prompt -> tools.chooser().sent(prompt, current.endpoint(), nowMillis));
-        ForwardingHead forwarding = terms.forwarding(
-                current.endpoint(), terms.leftMillis(nowMillis), relay().lastEventId(), current.cacheHolder());
-        connection.send(OnwardRequest.of(request, body, tools.dialect(), forwarding), terms.requestId(), current);
+        record.sent(nowMillis, context.signals().countUnwantedSend(current.endpoint()));
+        quarantineGuard.sent();
+        current.markSent();
+        terms.prompt().ifPresent(prompt -> context.chooser().sent(prompt, current.endpoint(), nowMillis));
+        ForwardingHead forwarding = terms.forwardingHead(
+                current.endpoint(), terms.remainingMillis(nowMillis), relay().lastEventId(), current.cacheHolder());
+        connection.send(
+                ForwardedRequest.create(request, body, context.dialect(), forwarding), terms.requestId(), current);
     }
 
     /**
-     * Tries elsewhere what may run again, as long as that can still be answered in time. The first try ends with its connection.
+     * Retries a request that may be executed again at another endpoint, if one has capacity. The first attempt is
+     * stopped by closing its connection.
      */
     @Override
     public void overdue(Attempt late) {
-        if (late != attempt || relay().started() || !terms.kind().mayRunAgain() || !risk.mayBeRepeated()) {
+        if (late != attempt || relay().started() || !terms.kind().mayRunAgain() || !quarantineGuard.mayBeRetried()) {
             return;
         }
-        Optional<PlacementChoice> other = tools.placer().another(terms, history.triedEndpoints(), late.endpoint());
-        if (other.isPresent() && !terms.full(other.get()) && mayRetry()) {
-            record.attemptEnded("no answer within " + history.sentMillisAgo(tools.nowMillis()) + " ms");
+        Optional<PlacementChoice> alternative =
+                context.placer().alternative(terms, history.triedEndpoints(), late.endpoint());
+        if (alternative.isPresent() && !terms.atQueueLimit(alternative.get()) && mayRetry()) {
+            record.attemptEnded("no answer within " + history.millisSinceLastSend(context.nowMillis()) + " ms");
             stopAttempt();
-            attempt(other.get());
+            startAttempt(alternative.get());
         }
     }
 
@@ -318,19 +335,19 @@
     public void unreachable(Attempt failed) {
         attempt = null;
         history.tried(failed.endpoint());
-        attempt();
+        placeAndAttempt();
     }
 
     @Override
-    public boolean takesError(Attempt failed, int status) {
-        boolean anotherTakes =
-                terms.kind().mayRunAgain() && tools.placer().anotherTakes(terms, history, failed.endpoint());
-        if (anotherTakes && mayRetry()) {
+    public boolean handlesError(Attempt failed, int status) {
+        boolean alternativeExists =
+                terms.kind().mayRunAgain() && context.placer().hasAlternative(terms, history, failed.endpoint());
+        if (alternativeExists && mayRetry()) {
             attempt = null;
             failed.stop();
             history.tried(failed.endpoint());
             record.attemptEnded("status " + status);
-            attempt();
+            placeAndAttempt();
             return true;
         }
         if (relay().started()) {
@@ -343,43 +360,43 @@
     }
 
     @Override
-    public void notRun(Attempt refused, int status) {
+    public void notExecuted(Attempt refused, int status) {
         attempt = null;
         history.tried(refused.endpoint());
-        history.lastNotRun();
+        history.lastSendNotExecuted();
         record.attemptEnded("not run, status " + status);
         if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-            tools.reportGone(refused.endpoint());
+            context.reportGone(refused.endpoint());
         }
         if (mayRetry()) {
-            attempt();
+            placeAndAttempt();
         } else {
             giveUp(RefusalCode.OVERLOADED, "the endpoint did not take the request");
         }
     }
 
     @Override
-    public void answered(Attempt whole, int status) {
+    public void responseCompleted(Attempt finished, int status) {
         attempt = null;
-        history.tried(whole.endpoint());
+        history.tried(finished.endpoint());
         record.finished(Verdict.RAN, status, "answered");
         if (status < HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-            risk.answered();
+            quarantineGuard.responseCompleted();
         }
         if (relay().complete()) {
             end();
         } else {
-            failedAtEndpoint("the stream ended in the middle of an event");
+            retryOrGiveUp("the stream ended in the middle of an event");
         }
     }
 
     @Override
-    public void broken(Attempt failed, String cause) {
+    public void responseFailed(Attempt failed, String cause) {
         attempt = null;
-        risk.brokeAt(failed.endpoint());
-        if (!failed.keptConnectionWasClosed()) {
+        quarantineGuard.responseFailed(failed.endpoint());
+        if (!failed.idleConnectionWasClosed()) {
             history.tried(failed.endpoint());
         }
-        failedAtEndpoint(cause);
+        retryOrGiveUp(cause);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
@@ -10,7 +10,9 @@
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.quarantine.RequestFingerprint;
 
-/** The account of one request, for the log: what was decided, on what inputs of which age, and what came of it. */
+/**
+ * The log record of one request: the decisions, the age of the information that they were based on, and the outcome.
+ */
 final class ExchangeRecord {
     private static final int FIRST_ERROR_STATUS = 400;
 
@@ -20,10 +22,10 @@
     private RequestFingerprint fingerprint = RequestFingerprint.UNKNOWN;
     private long configurationVersion;
     private long configurationAgeMillis;
-    private Terms terms = Terms.UNKNOWN;
+    private RequestTerms terms = RequestTerms.UNKNOWN;
     private Verdict verdict = Verdict.NOT_RUN;
     private int status;
-    private long beganAfterMillis = -1;
+    private long responseAfterMillis = -1;
     private String outcome = "";
 
     ExchangeRecord(long receivedAtMillis) {
@@ -42,12 +44,15 @@
         return configurationVersion;
     }
 
-    /** Returns how long that configuration had been in force here, in milliseconds. */
+    /**
+     * Returns how long the configuration had been in force at this router when the request was received, in
+     * milliseconds.
+     */
     long configurationAgeMillis() {
         return configurationAgeMillis;
     }
 
-    Terms terms() {
+    RequestTerms terms() {
         return terms;
     }
 
@@ -63,22 +68,27 @@
         return outcome;
     }
 
-    /** Returns when the answer began, in milliseconds after the request came in; -1 if it did not. */
-    long beganAfterMillis() {
-        return beganAfterMillis;
+    /**
+     * Returns when the first successful response head was received, in milliseconds after the request was received; -1
+     * if there was none.
+     */
+    long responseAfterMillis() {
+        return responseAfterMillis;
     }
 
     List<Step> steps() {
         return steps;
     }
 
-    void request(String id, long version, long inForceSinceMillis) {
+    /** Records the request id and the configuration in force. */
+    void requestIdentified(String id, long version, long inForceSinceMillis) {
         this.requestId = id;
         this.configurationVersion = version;
         this.configurationAgeMillis = receivedAtMillis - inForceSinceMillis;
     }
 
-    void terms(Terms newTerms, RequestFingerprint newFingerprint) {
+    /** Records the terms and the fingerprint of the request. */
+    void terms(RequestTerms newTerms, RequestFingerprint newFingerprint) {
         this.terms = newTerms;
         this.fingerprint = newFingerprint;
     }
@@ -87,46 +97,53 @@
         return fingerprint;
     }
 
+    /** Records the choice of an endpoint. */
     void chosen(PlacementChoice choice, RoutingView view, long nowMillis) {
         steps.add(new Step(choice, view.origin(), receivedAtMillis, nowMillis));
     }
 
     /**
-     * Notes that it was sent.
+     * Records that the request was sent.
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @param stated what the endpoint had stated against it; empty if nothing
+     * @param stated what the endpoint had stated against receiving requests; empty if nothing
      */
     void sent(long nowMillis, String stated) {
-        last().sentAfterMillis = nowMillis - receivedAtMillis;
-        last().stated = stated;
+        lastStep().sentAfterMillis = nowMillis - receivedAtMillis;
+        lastStep().stated = stated;
     }
 
-    void headCame(long nowMillis, AnswerHead head) {
-        last().headAfterMillis = nowMillis - receivedAtMillis;
-        last().head = head;
-        if (beganAfterMillis < 0 && head.status() < FIRST_ERROR_STATUS) {
-            beganAfterMillis = last().headAfterMillis;
+    /** Records the head of a response to the current attempt. */
+    void headReceived(long nowMillis, AnswerHead head) {
+        lastStep().headAfterMillis = nowMillis - receivedAtMillis;
+        lastStep().head = head;
+        if (responseAfterMillis < 0 && head.status() < FIRST_ERROR_STATUS) {
+            responseAfterMillis = lastStep().headAfterMillis;
         }
     }
 
-    void attemptEnded(String how) {
+    /** Records how the current attempt ended. */
+    void attemptEnded(String reason) {
         if (!steps.isEmpty()) {
-            last().end = how;
+            lastStep().end = reason;
         }
     }
 
+    /** Records the outcome of the request. */
     void finished(Verdict newVerdict, int newStatus, String newOutcome) {
         this.verdict = newVerdict;
         this.status = newStatus;
         this.outcome = newOutcome;
     }
 
-    private Step last() {
+    private Step lastStep() {
         return steps.get(steps.size() - 1);
     }
 
-    /** One choice of an endpoint. Times are in milliseconds after the request came in; -1 where it did not happen. */
+    /**
+     * The choice of an endpoint and the attempt at this endpoint. Times are in milliseconds after the request was
+     * received; -1 for an event that did not happen.
+     */
     static final class Step {
         private final PlacementChoice choice;
         private final long chosenAfterMillis;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRefusal.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRefusal.java
@@ -6,28 +6,28 @@
 import org.radishpass.core.outcome.Verdict;
 
 /**
- * Ends a request without an answer of an endpoint. A refusal that promises that the request has not run goes out only while its verdict is
- * {@link Verdict#NOT_RUN}; an answer that has begun is broken off.
+ * Ends a request without a response from an endpoint. A refusal that promises that the request was not executed is sent
+ * only while the verdict is {@link Verdict#NOT_RUN}. A response that has started is aborted.
  */
 final class ExchangeRefusal {
-    private final TrafficTools tools;
+    private final TrafficContext context;
     private final CallerConnection caller;
     private final ExchangeRecord record;
     private final SendHistory history;
     private final Runnable end;
 
     /**
-     * Creates the refusals of a request.
+     * Creates the refusals of one request.
      *
-     * @param tools the traffic thread's tools
-     * @param caller who is answered
-     * @param record the account of the request
-     * @param history where it was sent
+     * @param context the shared state of the traffic event loop
+     * @param caller the connection of the caller
+     * @param record the log record of the request
+     * @param history the previous sends of the request
      * @param end ends the request; called before the caller is answered
      */
     ExchangeRefusal(
-            TrafficTools tools, CallerConnection caller, ExchangeRecord record, SendHistory history, Runnable end) {
-        this.tools = tools;
+            TrafficContext context, CallerConnection caller, ExchangeRecord record, SendHistory history, Runnable end) {
+        this.context = context;
         this.caller = caller;
         this.record = record;
         this.history = history;
@@ -35,50 +35,50 @@
     }
 
     /**
-     * Gives the request up: nothing more is tried.
+     * Gives up the request without a further attempt.
      *
-     * @param code why
-     * @param detail one sentence for people
-     * @param begun whether the caller has got a part of an answer
+     * @param code the reason
+     * @param detail a sentence that describes the reason
+     * @param responseStarted whether a part of the response has been sent to the caller
      */
-    void giveUp(RefusalCode code, String detail, boolean begun) {
-        if (begun) {
+    void giveUp(RefusalCode code, String detail, boolean responseStarted) {
+        if (responseStarted) {
             record.finished(Verdict.RAN, 0, "broken off: " + detail);
             end.run();
             caller.abort();
             return;
         }
         if (history.notRun()) {
-            RefusalCode truthful = code == RefusalCode.ENDPOINT_FAILED ? RefusalCode.NO_ENDPOINT : code;
-            refuse(truthful, detail, RetryDelay.of(truthful).header());
+            RefusalCode accurateCode = code == RefusalCode.ENDPOINT_FAILED ? RefusalCode.NO_ENDPOINT : code;
+            refuse(accurateCode, detail, RetryDelay.of(accurateCode).header());
             return;
         }
         refuse(code == RefusalCode.DEADLINE ? code : RefusalCode.ENDPOINT_FAILED, detail, null);
     }
 
     /**
-     * Refuses a request that could be run by endpoints in backoff alone.
+     * Refuses the request because every endpoint that could execute it is in backoff.
      *
-     * @param endMillis when the first of them takes requests again, on the monotonic clock in milliseconds
+     * @param endMillis when the first backoff ends, on the monotonic clock in milliseconds
      */
     void refuseInBackoff(long endMillis) {
         refuse(
                 RefusalCode.OVERLOADED,
                 "every endpoint that could run it is in backoff",
-                RetryDelay.header(endMillis - tools.nowMillis()));
+                RetryDelay.header(endMillis - context.nowMillis()));
     }
 
     /**
      * Refuses the request.
      *
-     * @param code why
-     * @param detail one sentence for people
-     * @param retryAfter the header that tells when to come back, or null
+     * @param code the reason
+     * @param detail a sentence that describes the reason
+     * @param retryAfter the value of the Retry-After header, or null for no such header
      */
     void refuse(RefusalCode code, String detail, @Nullable String retryAfter) {
         record.finished(history.verdict(), code.status(), detail);
         end.run();
-        caller.answer(
+        caller.respond(
                 HttpResponseStatus.valueOf(code.status()),
                 Refusals.body(caller.allocator(), code.status(), detail),
                 retryAfter);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/OnwardRequest.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ForwardedRequest.java
@@ -13,21 +13,22 @@
 import org.radishpass.routing.dialect.ForwardingHead;
 import org.radishpass.routing.dialect.RequestDialect;
 
-/** Makes the request that an endpoint gets: the caller's own, framed by its length. */
-final class OnwardRequest {
-    private OnwardRequest() {
+/** Builds the request that is forwarded to an endpoint: the request of the caller, framed by Content-Length. */
+final class ForwardedRequest {
+    private ForwardedRequest() {
         // static methods only
     }
 
     /**
-     * Makes it.
+     * Builds the forwarded request.
      *
-     * @param request the caller's head
-     * @param body the caller's body; it is not consumed
-     * @param dialect says what the router adds and removes
-     * @param forwarding what the router says
+     * @param request the request head of the caller
+     * @param body the request body of the caller, which is not consumed
+     * @param dialect adds and removes the headers of the router
+     * @param forwarding the values that the router adds
      */
-    static FullHttpRequest of(HttpRequest request, ByteBuf body, RequestDialect dialect, ForwardingHead forwarding) {
+    static FullHttpRequest create(
+            HttpRequest request, ByteBuf body, RequestDialect dialect, ForwardingHead forwarding) {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(request.headers());
         boolean framed = HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/HeldArrivals.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/HeldArrivals.java
@@ -7,106 +7,109 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whole requests that come before the router knows its configuration, as after a loss of power of all routers.
+ * Complete requests that arrive before the router knows its configuration, as after a power failure of all routers.
  *
- * <p>While the configuration is on its way they wait for it: were they refused, callers would come back several times, to routers that
- * know no more, and each time take processor time that the router needs to read its configuration. One that is not on its way is
- * not waited for, and none is waited for beyond half of the caller's patience, so that it can still be served elsewhere.
+ * <p>Requests are held while the configuration is being received. If they were refused instead, callers would retry
+ * several times at routers that do not know it either, and each retry would take processor time that the router needs
+ * to read its configuration. Requests are not held if no configuration is being received, and never for more than half
+ * of the time that the caller waits, so that another router can still serve them.
  *
- * <p>A plain object; belongs to the traffic thread.
+ * <p>Not thread-safe; confined to the traffic event loop.
  */
 final class HeldArrivals {
     /**
-     * Milliseconds for which a request waits at most: twice what a configuration of 500 KB takes on a link of 7 Mbit/s and an eighth
-     * of a core.
+     * Maximum time in milliseconds for which a request is held. A configuration of 500 KB takes half of that on a link
+     * of 7 Mbit/s with an eighth of a core.
      */
-    static final long MOST_MILLIS = 3_000;
+    static final long MAX_HOLD_MILLIS = 3_000;
 
-    /** The part of a caller's patience for which its request waits. */
-    private static final int PATIENCE_PART = 2;
+    /** A request is held for at most the time that its caller waits, divided by this number. */
+    private static final int CALLER_TIMEOUT_DIVISOR = 2;
 
     private final LongSupplier clock;
-    private final BooleanSupplier holds;
-    private final Consumer<List<ArrivalQueue.Arrival>> queue;
-    private final Consumer<Runnable> later;
+    private final BooleanSupplier shouldHold;
+    private final Consumer<List<ArrivalQueue.Arrival>> releaseTo;
+    private final Consumer<Runnable> scheduler;
     private final List<Held> held = new ArrayList<>();
-    private boolean lookDue;
+    private boolean checkScheduled;
 
     /**
-     * Creates one that holds nothing.
+     * Creates an empty instance.
      *
      * @param clock the monotonic clock, in milliseconds
-     * @param holds tells whether requests are to wait now
-     * @param queue takes requests that are to begin, the oldest first
-     * @param later runs a task on the traffic thread after a moment
+     * @param shouldHold tells whether requests are to be held now
+     * @param releaseTo receives the requests that may start, the oldest first
+     * @param scheduler runs a task on the event loop after a short delay
      */
     HeldArrivals(
             LongSupplier clock,
-            BooleanSupplier holds,
-            Consumer<List<ArrivalQueue.Arrival>> queue,
-            Consumer<Runnable> later) {
+            BooleanSupplier shouldHold,
+            Consumer<List<ArrivalQueue.Arrival>> releaseTo,
+            Consumer<Runnable> scheduler) {
         this.clock = clock;
-        this.holds = holds;
-        this.queue = queue;
-        this.later = later;
+        this.shouldHold = shouldHold;
+        this.releaseTo = releaseTo;
+        this.scheduler = scheduler;
     }
 
     /**
-     * Returns until when a request waits at most.
+     * Returns the latest time until which a request is held.
      *
-     * @param receivedAtMillis when it came, on the monotonic clock in milliseconds
-     * @param patienceMillis how long its caller waits; {@link Long#MAX_VALUE} if it does not say
+     * @param receivedAtMillis when the request was received, on the monotonic clock in milliseconds
+     * @param callerTimeoutMillis how long the caller waits; {@link Long#MAX_VALUE} if unknown
      */
-    static long deadlineMillis(long receivedAtMillis, long patienceMillis) {
-        return receivedAtMillis + Math.min(MOST_MILLIS, patienceMillis / PATIENCE_PART);
+    static long deadlineMillis(long receivedAtMillis, long callerTimeoutMillis) {
+        return receivedAtMillis + Math.min(MAX_HOLD_MILLIS, callerTimeoutMillis / CALLER_TIMEOUT_DIVISOR);
     }
 
-    /** Tells whether a request that comes now is to wait. */
-    boolean holdsNow() {
-        return holds.getAsBoolean();
+    /** Tells whether a request that arrives now is to be held. */
+    boolean shouldHoldNow() {
+        return shouldHold.getAsBoolean();
     }
 
     /**
-     * Lets a request wait.
+     * Holds a request.
      *
      * @param arrival the request
-     * @param deadlineMillis until when at most, on the monotonic clock in milliseconds
+     * @param deadlineMillis the latest time until which the request is held, on the monotonic clock in milliseconds
      */
     void add(ArrivalQueue.Arrival arrival, long deadlineMillis) {
         held.add(new Held(arrival, deadlineMillis));
-        lookLater();
+        scheduleCheck();
     }
 
-    /** Lets all begin, whatever they wait for. */
+    /** Releases all requests unconditionally. */
     void releaseAll() {
         release(List.copyOf(held));
     }
 
-    private void look() {
-        lookDue = false;
-        if (!holds.getAsBoolean()) {
+    private void check() {
+        checkScheduled = false;
+        if (!shouldHold.getAsBoolean()) {
             releaseAll();
             return;
         }
         long nowMillis = clock.getAsLong();
-        release(held.stream().filter(one -> one.deadlineMillis <= nowMillis).toList());
-        lookLater();
+        release(held.stream()
+                .filter(request -> request.deadlineMillis <= nowMillis)
+                .toList());
+        scheduleCheck();
     }
 
-    private void lookLater() {
-        if (!lookDue && !held.isEmpty()) {
-            lookDue = true;
-            later.accept(this::look);
+    private void scheduleCheck() {
+        if (!checkScheduled && !held.isEmpty()) {
+            checkScheduled = true;
+            scheduler.accept(this::check);
         }
     }
 
     private void release(List<Held> released) {
         if (!released.isEmpty()) {
             held.removeAll(released);
-            queue.accept(released.stream().map(Held::arrival).toList());
+            releaseTo.accept(released.stream().map(Held::arrival).toList());
         }
     }
 
-    /** A request that waits. */
+    /** A request that is held. */
     private record Held(ArrivalQueue.Arrival arrival, long deadlineMillis) {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/HopByHop.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/HopByHop.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** The headers that concern one connection only (RFC 9110, section 7.6.1) and go no further. */
+/** The hop-by-hop headers (RFC 9110, section 7.6.1), which concern a single connection and are not forwarded. */
 final class HopByHop {
     private static final List<CharSequence> NAMES = List.of(
             HttpHeaderNames.CONNECTION,
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Removes them, and those that the connection header names.
+     * Removes the hop-by-hop headers, and those that the Connection header lists.
      *
-     * @param headers the headers; changed
+     * @param headers the headers, which are modified
      */
     static void strip(HttpHeaders headers) {
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestAssembly.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestAssembly.java
@@ -7,8 +7,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * A caller's request while it comes in. It is sent on only once it is whole, so that a caller that leaves midway has run
- * nothing, and so that it can be sent again.
+ * Assembles a request of a caller. The request is forwarded only once it is complete, so that nothing is executed for a
+ * caller that disconnects in between, and so that the request can be retried.
  */
 final class RequestAssembly {
     private final HttpRequest request;
@@ -27,24 +27,27 @@
         return request;
     }
 
-    /** Returns when the head came in, on the monotonic clock in milliseconds. */
+    /** Returns when the request head was received, on the monotonic clock in milliseconds. */
     long receivedAtMillis() {
         return receivedAtMillis;
     }
 
-    /** Returns the body; its receiver releases it. */
+    /** Returns the body, which the recipient must release. */
     ByteBuf body() {
         return body;
     }
 
-    boolean announcedTooLarge() {
+    /** Tells whether the Content-Length header exceeds the limit. */
+    boolean declaredTooLarge() {
         return HttpUtil.getContentLength(request, 0L) > maxBodyBytes;
     }
 
+    /** Tells whether the received part of the body exceeds the limit. */
     boolean tooLarge() {
         return body.readableBytes() > maxBodyBytes;
     }
 
+    /** Adds a part of the body, which the assembly takes over. */
     void add(ByteBuf part) {
         if (part.isReadable()) {
             body.addComponent(true, part);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
@@ -18,46 +18,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the account of each request, and of each change in what is believed of an endpoint. Belongs to the traffic
- * thread. Beyond a number of lines a second only requests that failed are written, and how many lines were left out.
+ * Writes a log record for each request and for each change in the assumed state of an endpoint. The number of lines per
+ * second is limited; beyond the first limit only unsuccessful requests are logged. The number of suppressed lines is
+ * logged as well. Confined to the traffic event loop.
  */
 final class RequestLog implements Quarantine.Listener {
     private static final Logger LOG = LoggerFactory.getLogger("org.radishpass.routing.requests");
 
-    /** Lines a second for requests that were answered: twice what a router of today's deployments serves. */
-    private static final int ANSWERED_LINES = 60;
+    /**
+     * Maximum number of lines per second for successful requests; twice the request rate of a router in current
+     * deployments.
+     */
+    private static final int MAX_SUCCESS_LINES_PER_SECOND = 60;
 
-    /** Lines a second altogether: about 100 KB. */
-    private static final int ALL_LINES = 200;
+    /** Maximum number of request lines per second; about 100 KB. */
+    private static final int MAX_LINES_PER_SECOND = 200;
 
-    /** Requests that the line of an endpoint's end names: more than an engine of today's deployments runs of one router. */
-    private static final int MOST_AT_WORK = 32;
+    /**
+     * Maximum number of requests listed when an endpoint exits; larger than the number that an engine of current
+     * deployments executes for one router.
+     */
+    private static final int MAX_LISTED_REQUESTS = 32;
 
     private static final long SECOND_MILLIS = 1_000;
     private static final int FIRST_ERROR_STATUS = 400;
 
     private final MeterRegistry metrics;
     private final Counter suppressed;
-    private final Counter ends;
+    private final Counter exits;
     private final Map<String, Timer> timers = new HashMap<>();
-    private long second = Long.MIN_VALUE;
-    private int lines;
-    private long leftOut;
+    private long currentSecond = Long.MIN_VALUE;
+    private int linesInSecond;
+    private long suppressedLines;
 
     RequestLog(MeterRegistry metrics) {
         this.metrics = metrics;
         this.suppressed = Counter.builder("radishpass.log.suppressed")
                 .description("log lines left out to keep the volume bounded")
                 .register(metrics);
-        this.ends = Counter.builder("radishpass.endpoint.ends")
+        this.exits = Counter.builder("radishpass.endpoint.ends")
                 .description("endpoints whose process ended with requests of this router at work")
                 .register(metrics);
     }
 
+    /** Logs the end of a request and records its duration. */
     void finished(ExchangeRecord record, long nowMillis) {
         boolean answered = record.status() > 0 && record.status() < FIRST_ERROR_STATUS;
         timer(record).record(Duration.ofMillis(nowMillis - record.receivedAtMillis()));
-        if (!admit(answered ? ANSWERED_LINES : ALL_LINES, nowMillis)) {
+        if (!admit(answered ? MAX_SUCCESS_LINES_PER_SECOND : MAX_LINES_PER_SECOND, nowMillis)) {
             return;
         }
         LOG.info(
@@ -83,17 +91,21 @@
                 kv("status", record.status()),
                 kv("verdict", record.verdict()),
                 kv("target", record.terms().route().targetLatencyMillis()),
-                kv("began", record.beganAfterMillis()),
+                kv("began", record.responseAfterMillis()),
                 kv("millis", nowMillis - record.receivedAtMillis()));
     }
 
     void refusedEarly(int status, String detail) {
-        LOG.info("request refused before it was whole: {}", detail, LogEvent.MALFORMED.field(), kv("status", status));
+        LOG.info(
+                "refused a request before it was completely received: {}; closing the connection",
+                detail,
+                LogEvent.MALFORMED.field(),
+                kv("status", status));
     }
 
     void endpointDown(ServiceEndpoint endpoint, String cause) {
         LOG.info(
-                "endpoint {} at {} cannot be reached: {}",
+                "endpoint {} at {} cannot be reached: {}; it receives no requests until a connection succeeds",
                 endpoint.id(),
                 endpoint.address(),
                 cause,
@@ -102,24 +114,24 @@
 
     void endpointBack(ServiceEndpoint endpoint) {
         LOG.info(
-                "endpoint {} at {} can be reached again",
+                "endpoint {} at {} can be reached again; it receives requests again",
                 endpoint.id(),
                 endpoint.address(),
                 LogEvent.ENDPOINT_BACK.field());
     }
 
-    void endpointEnded(ServiceEndpoint endpoint, List<AtWork> atWork) {
-        ends.increment();
+    void endpointExited(ServiceEndpoint endpoint, List<AtWork> inFlightRequests) {
+        exits.increment();
         LOG.info(
-                "endpoint {} at {} has ended with {} requests of this router at work",
+                "the process of endpoint {} at {} has exited with {} requests of this router in flight",
                 endpoint.id(),
                 endpoint.address(),
-                atWork.size(),
+                inFlightRequests.size(),
                 LogEvent.ENDPOINT_ENDED.field(),
                 kv(
                         "atWork",
-                        atWork.stream()
-                                .limit(MOST_AT_WORK)
+                        inFlightRequests.stream()
+                                .limit(MAX_LISTED_REQUESTS)
                                 .map(Object::toString)
                                 .toList()));
     }
@@ -127,7 +139,7 @@
     @Override
     public void quarantined(RequestFingerprint request, int count, String origin) {
         LOG.warn(
-                "request {} is held back: {} endpoints have ended with it at work, the last told by {}",
+                "request {} is quarantined and refused from now on: {} endpoints exited while executing it, the last reported by {}",
                 request,
                 count,
                 origin,
@@ -139,7 +151,7 @@
     @Override
     public void tried(RequestFingerprint request, int count) {
         LOG.warn(
-                "request {}, with which {} endpoints have ended, is let through once",
+                "testing quarantined request {} at one endpoint; {} endpoints exited while executing it",
                 request,
                 count,
                 LogEvent.REQUEST_TRIED.field(),
@@ -150,7 +162,7 @@
     @Override
     public void cleared(RequestFingerprint request, int count) {
         LOG.info(
-                "request {}, with which {} endpoints had ended, was answered and is not suspected any more",
+                "request {} was answered and is no longer suspected of crashing endpoints; {} endpoints exited while executing it",
                 request,
                 count,
                 LogEvent.REQUEST_CLEARED.field(),
@@ -160,7 +172,7 @@
 
     void endpointLeaving(ServiceEndpoint endpoint) {
         LOG.info(
-                "endpoint {} at {} is draining, as its answer states",
+                "endpoint {} at {} is draining, as its response states; it receives no new requests",
                 endpoint.id(),
                 endpoint.address(),
                 LogEvent.ENDPOINT_LEAVING.field(),
@@ -169,7 +181,7 @@
 
     void endpointBackoff(ServiceEndpoint endpoint, long backoffMillis) {
         LOG.info(
-                "endpoint {} at {} rejected a request with Retry-After",
+                "endpoint {} at {} rejected a request with Retry-After; it receives no requests until the backoff ends",
                 endpoint.id(),
                 endpoint.address(),
                 LogEvent.ENDPOINT_BACKOFF.field(),
@@ -178,37 +190,37 @@
 
     void endpointFailing(ServiceEndpoint endpoint) {
         LOG.info(
-                "endpoint {} at {} fails too many requests and is left out",
+                "endpoint {} at {} fails too many requests; sending it no requests for a while",
                 endpoint.id(),
                 endpoint.address(),
                 LogEvent.ENDPOINT_FAILING.field());
     }
 
-    void endpointSlow(ServiceEndpoint endpoint, long patienceMillis) {
+    void endpointSlow(ServiceEndpoint endpoint, long thresholdMillis) {
         LOG.info(
-                "endpoint {} at {} takes over {} ms to begin its answers and is left out",
+                "endpoint {} at {} takes more than {} ms to start its responses; sending it no requests for a while",
                 endpoint.id(),
                 endpoint.address(),
-                patienceMillis,
+                thresholdMillis,
                 LogEvent.ENDPOINT_SLOW.field());
     }
 
-    private boolean admit(int most, long nowMillis) {
+    private boolean admit(int maxLines, long nowMillis) {
         long now = Math.floorDiv(nowMillis, SECOND_MILLIS);
-        if (now != second) {
-            second = now;
-            lines = 0;
-            if (leftOut > 0) {
-                LOG.info("{} log lines were left out", leftOut, LogEvent.LOG_SUPPRESSED.field());
-                leftOut = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            linesInSecond = 0;
+            if (suppressedLines > 0) {
+                LOG.info("{} log lines were suppressed", suppressedLines, LogEvent.LOG_SUPPRESSED.field());
+                suppressedLines = 0;
             }
         }
-        if (lines >= most) {
-            leftOut++;
+        if (linesInSecond >= maxLines) {
+            suppressedLines++;
             suppressed.increment();
             return false;
         }
-        lines++;
+        linesInSecond++;
         return true;
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
@@ -10,121 +10,127 @@
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.placement.PlacementQuery;
 
-/** Finds the endpoints that may be given a request now, and has one chosen among them. */
+/** Determines the endpoints that a request may be sent to now, and has one of them chosen. */
 final class RequestPlacer {
     /**
-     * Milliseconds within which an endpoint must have been heard of to be given a request that has failed elsewhere: what
-     * broke the first may have cut off others too. Engines at work send events at least that often.
+     * Milliseconds within which an endpoint must have sent bytes to receive a request that failed at another endpoint,
+     * since the same fault may affect more than one. Engines send events at least this often while requests are in
+     * flight.
      */
-    private static final long SURELY_ALIVE_MILLIS = 150;
+    private static final long RECENT_ACTIVITY_MILLIS = 150;
 
-    private final TrafficTools tools;
+    private final TrafficContext context;
 
-    RequestPlacer(TrafficTools tools) {
-        this.tools = tools;
+    RequestPlacer(TrafficContext context) {
+        this.context = context;
     }
 
     /**
-     * Finds out where a request could go that waits at an endpoint; empty while the others have no room for it.
+     * Chooses another endpoint for a request that is waiting for a response; empty while the other endpoints have no
+     * capacity.
      *
-     * @param terms its terms
-     * @param tried the endpoints that it was given to before
-     * @param waitsAt where it waits
+     * @param terms the terms of the request
+     * @param tried the endpoints that the request was sent to before
+     * @param waitsAt the endpoint whose response is awaited
      */
-    Optional<PlacementChoice> another(Terms terms, List<String> tried, ServiceEndpoint waitsAt) {
-        if (!othersHaveRoom(waitsAt)) {
+    Optional<PlacementChoice> alternative(RequestTerms terms, List<String> tried, ServiceEndpoint waitsAt) {
+        if (!othersHaveCapacity(waitsAt)) {
             return Optional.empty();
         }
-        List<String> all = new ArrayList<>(tried);
-        all.add(waitsAt.id());
-        return place(terms, all, true);
+        List<String> excluded = new ArrayList<>(tried);
+        excluded.add(waitsAt.id());
+        return place(terms, excluded, true);
     }
 
     /**
-     * Tells whether the other endpoints of a service could do the work of one; not while most of them look bad, since the fault is
-     * then hardly this one's.
+     * Tells whether the other endpoints of the service could take over the requests of an endpoint. False while most
+     * endpoints of the service appear unhealthy, since the cause is then hardly this endpoint.
      *
-     * @param endpoint the one
+     * @param endpoint the endpoint
      */
-    boolean othersHaveRoom(ServiceEndpoint endpoint) {
-        long nowMillis = tools.nowMillis();
-        List<ServiceEndpoint> open = tools.filter().open(endpoint.service());
-        List<ServiceEndpoint> others = new ArrayList<>(tools.health().usable(open, nowMillis));
+    boolean othersHaveCapacity(ServiceEndpoint endpoint) {
+        long nowMillis = context.nowMillis();
+        List<ServiceEndpoint> open = context.filter().open(endpoint.service());
+        List<ServiceEndpoint> others = new ArrayList<>(context.health().usable(open, nowMillis));
         others.removeIf(other -> other.id().equals(endpoint.id()));
-        return !tools.health().doubtful(open, nowMillis) && SpareRoom.at(others, tools.book());
+        return !context.health().doubtful(open, nowMillis) && SpareRoom.at(others, context.inFlight());
     }
 
     /**
-     * Tells whether a request may still be sent where it was placed, and counts it where only a few may be: connections take a while to
-     * be made, and the operator's word may have come meanwhile.
+     * Tells whether a request may still be sent to the endpoint that was chosen for it. The connection takes time to
+     * establish, and the configuration may have changed meanwhile. If the endpoint is cold, the request counts against
+     * its limit.
      *
-     * @param terms its terms
-     * @param chosen where it was placed
+     * @param terms the terms of the request
+     * @param chosen the chosen endpoint
      */
-    boolean stillOpen(Terms terms, ServiceEndpoint chosen) {
-        EndpointFilter filter = tools.filter();
-        long nowMillis = tools.nowMillis();
-        return filter.stillOpen(terms, chosen)
-                && tools.coldGuard().takes(chosen, () -> usable(filter, terms, nowMillis), terms, nowMillis);
+    boolean stillEligible(RequestTerms terms, ServiceEndpoint chosen) {
+        EndpointFilter filter = context.filter();
+        long nowMillis = context.nowMillis();
+        return filter.stillEligible(terms, chosen)
+                && context.coldGuard().tryAdmit(chosen, () -> usable(filter, terms, nowMillis), terms, nowMillis);
     }
 
     /**
-     * Returns when the first endpoint takes requests again that could run a request but is in backoff, on the monotonic clock in
-     * milliseconds; empty if there is none.
+     * Returns when the first backoff ends of the endpoints that could execute the request but are in backoff, on the
+     * monotonic clock in milliseconds; empty if there is no such endpoint.
      *
-     * @param terms its terms
-     * @param tried the endpoints that it was given to before
+     * @param terms the terms of the request
+     * @param tried the endpoints that the request was sent to before
      */
-    OptionalLong soonestBackoffEnd(Terms terms, List<String> tried) {
-        return tools.filter().inBackoff(terms).stream()
+    OptionalLong earliestBackoffEnd(RequestTerms terms, List<String> tried) {
+        return context.filter().inBackoff(terms).stream()
                 .map(ServiceEndpoint::id)
                 .filter(id -> !tried.contains(id))
-                .mapToLong(tools.signals().backoffs()::untilMillis)
+                .mapToLong(context.signals().backoffs()::untilMillis)
                 .min();
     }
 
     /**
-     * Tells whether an endpoint would take a request that has failed at another one: if none does, the answer that there is goes to the caller.
+     * Tells whether another endpoint would accept a request that failed at an endpoint. If none does, the error
+     * response is relayed to the caller.
      *
-     * @param terms its terms
-     * @param history where it was sent before
-     * @param failed the endpoint at which it has failed
+     * @param terms the terms of the request
+     * @param history the previous sends of the request
+     * @param failed the endpoint at which the request failed
      */
-    boolean anotherTakes(Terms terms, SendHistory history, ServiceEndpoint failed) {
+    boolean hasAlternative(RequestTerms terms, SendHistory history, ServiceEndpoint failed) {
         List<String> tried = new ArrayList<>(history.triedEndpoints());
         tried.add(failed.id());
-        return place(terms, tried, true).filter(choice -> !terms.full(choice)).isPresent();
+        return place(terms, tried, true)
+                .filter(choice -> !terms.atQueueLimit(choice))
+                .isPresent();
     }
 
-    private List<ServiceEndpoint> usable(EndpointFilter filter, Terms terms, long nowMillis) {
-        return tools.health().usable(filter.open(terms), nowMillis);
+    private List<ServiceEndpoint> usable(EndpointFilter filter, RequestTerms terms, long nowMillis) {
+        return context.health().usable(filter.open(terms), nowMillis);
     }
 
     /**
-     * Places a request.
+     * Chooses an endpoint for a request; empty if there is none.
      *
-     * @param terms its terms
-     * @param tried the endpoints that it was given to before
-     * @param sentBefore whether it was sent before
+     * @param terms the terms of the request
+     * @param tried the endpoints that the request was sent to before
+     * @param sentBefore whether the request was sent before
      */
-    Optional<PlacementChoice> place(Terms terms, List<String> tried, boolean sentBefore) {
-        long nowMillis = tools.nowMillis();
-        EndpointFilter filter = tools.filter();
+    Optional<PlacementChoice> place(RequestTerms terms, List<String> tried, boolean sentBefore) {
+        long nowMillis = context.nowMillis();
+        EndpointFilter filter = context.filter();
         List<ServiceEndpoint> candidates =
-                new ArrayList<>(tools.coldGuard().admitted(usable(filter, terms, nowMillis), terms, nowMillis));
+                new ArrayList<>(context.coldGuard().admitted(usable(filter, terms, nowMillis), terms, nowMillis));
         candidates.removeIf(endpoint -> tried.contains(endpoint.id()));
         if (sentBefore) {
-            candidates = tools.health().heardLately(candidates, SURELY_ALIVE_MILLIS, nowMillis);
+            candidates = context.health().heardLately(candidates, RECENT_ACTIVITY_MILLIS, nowMillis);
         }
-        List<ServiceEndpoint> sources = tools.health().reachable(filter.cacheSources(terms), nowMillis);
-        return tools.chooser()
+        List<ServiceEndpoint> sources = context.health().reachable(filter.cacheSources(terms), nowMillis);
+        return context.chooser()
                 .choose(new PlacementQuery(
                         candidates,
-                        tools.health().usable(filter.staying(terms.service()), nowMillis),
+                        context.health().usable(filter.notLeaving(terms.service()), nowMillis),
                         sources,
                         terms.prompt(),
                         Rendezvous.hash(terms.requestId()),
-                        tools.view().routers(),
+                        context.view().routers(),
                         nowMillis));
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestResolver.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestResolver.java
@@ -11,7 +11,7 @@
 import org.radishpass.routing.dialect.RequestDialect;
 import org.radishpass.routing.dialect.RequestHead;
 
-/** Finds the route, the workspace and the service of a request. */
+/** Determines the route, the workspace and the service of a request. */
 final class RequestResolver {
     private final RequestDialect dialect;
 
@@ -22,14 +22,14 @@
     /**
      * Resolves a request.
      *
-     * @param request its head
-     * @param view what is believed now
-     * @param record the account of the request; learns its id and the configuration
+     * @param request the request head
+     * @param view the current view of the configuration and the endpoints
+     * @param record the log record of the request, which receives the request id and the configuration version
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     Resolution resolve(HttpRequest request, RoutingView view, ExchangeRecord record, long nowMillis) {
-        Optional<RoutingConfiguration> known = view.configuration();
-        if (known.isEmpty() || !view.complete()) {
+        Optional<RoutingConfiguration> configuration = view.configuration();
+        if (configuration.isEmpty() || !view.complete()) {
             return new Resolution.Refused(
                     RefusalCode.NOT_READY, "no configuration or endpoint list is known yet", RetryDelay.NOT_READY);
         }
@@ -39,17 +39,18 @@
         } catch (MalformedHeadException e) {
             return refused(RefusalCode.BAD_REQUEST, String.valueOf(e.getMessage()));
         }
-        record.request(head.id(), known.get().version(), view.inForceSinceMillis());
-        Resolution resolution = resolve(head, known.get(), record.receivedAtMillis());
+        record.requestIdentified(head.id(), configuration.get().version(), view.inForceSinceMillis());
+        Resolution resolution = resolve(head, configuration.get(), record.receivedAtMillis());
         boolean denied = resolution instanceof Resolution.Refused;
-        return denied && nowMillis < view.newerExpectedUntilMillis() ? notYet() : resolution;
+        return denied && nowMillis < view.newerExpectedUntilMillis() ? configurationOutdated() : resolution;
     }
 
     /**
-     * What the configuration in force denies, a newer one may allow that other routers have already. Callers do not come back after a
-     * denial, but do when a router says that it is not ready.
+     * Returns a refusal that replaces a denial while a newer configuration is expected. Other routers may already have
+     * the newer configuration, and it may allow the request. Callers do not retry after a denial, but do so when a
+     * router is not ready.
      */
-    private static Resolution notYet() {
+    private static Resolution configurationOutdated() {
         return new Resolution.Refused(
                 RefusalCode.NOT_READY, "a newer configuration is on its way", RetryDelay.NOT_READY);
     }
@@ -60,16 +61,16 @@
             return refused(RefusalCode.NOT_FOUND, "no route matches the host and path");
         }
         Optional<Workspace> workspace = head.key().flatMap(configuration::workspace);
-        boolean keyNeeded = configuration.keysRequired() && !route.get().anonymous();
-        if (workspace.isEmpty() && keyNeeded) {
+        boolean keyRequired = configuration.keysRequired() && !route.get().anonymous();
+        if (workspace.isEmpty() && keyRequired) {
             return refused(RefusalCode.UNAUTHORIZED, "the key is missing or unknown");
         }
         String service = service(head, route.get());
-        return new Resolution.Resolved(
-                Terms.of(head, route.get(), workspace, configuration.service(service), service, receivedAtMillis));
+        return new Resolution.Resolved(RequestTerms.of(
+                head, route.get(), workspace, configuration.service(service), service, receivedAtMillis));
     }
 
-    /** Requests of one id go to the same service of a split, whichever router they come to. */
+    /** Selects the service of a traffic split by the request id, so that every router selects the same service. */
     private static String service(RequestHead head, Route route) {
         long hash = Rendezvous.hash(head.id());
         return route.split().service(Rendezvous.mix(hash, Rendezvous.hash(route.name())));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Terms.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestTerms.java
@@ -18,19 +18,19 @@
 import org.radishpass.routing.placement.PlacementChoice;
 
 /**
- * The terms on which a request is served, fixed when it starts.
+ * The terms on which a request is served, fixed when the request starts.
  *
- * @param requestId the caller's name for it
- * @param host the host that it is for
- * @param route its route
- * @param workspaceSpec the workspace that it is run for, or null
- * @param service the service that answers it
- * @param serviceSpec what the configuration says of the service, or null if it does not name it
- * @param promptShape what it says of its prompt, or null
- * @param callerLastEventId the event after which the caller wants the answer to go on, or null
- * @param deadlineMillis when the answer must be whole, on the monotonic clock in milliseconds
+ * @param requestId the id that the caller gave the request
+ * @param host the host that the request is for
+ * @param route the matching route
+ * @param workspaceSpec the workspace of the caller, or null
+ * @param service the service that serves the request
+ * @param serviceSpec the configuration of the service, or null if the configuration does not contain the service
+ * @param promptShape the properties of the prompt, or null
+ * @param callerLastEventId the event after which the caller wants the stream to be resumed, or null
+ * @param deadlineMillis when the response must be complete, on the monotonic clock in milliseconds
  */
-record Terms(
+record RequestTerms(
         String requestId,
         String host,
         Route route,
@@ -40,21 +40,23 @@
         @Nullable PromptShape promptShape,
         @Nullable String callerLastEventId,
         long deadlineMillis) {
-    /** The terms of a request of which nothing is known yet. */
-    static final Terms UNKNOWN = new Terms(
+    /** The terms of a request that has not been resolved. */
+    static final RequestTerms UNKNOWN = new RequestTerms(
             "", "", Route.builder("").split(TrafficSplit.all("")).build(), null, "", null, null, null, Long.MAX_VALUE);
 
+    /** The least urgent priority. */
     private static final int LEAST_URGENT = 9;
 
-    static Terms of(
+    static RequestTerms of(
             RequestHead head,
             Route route,
             Optional<Workspace> workspace,
             Optional<ServiceSpec> spec,
             String service,
             long receivedAtMillis) {
-        long patience = Math.min(route.timeoutMillis(), head.patienceMillis().orElse(Long.MAX_VALUE));
-        return new Terms(
+        long timeoutMillis =
+                Math.min(route.timeoutMillis(), head.patienceMillis().orElse(Long.MAX_VALUE));
+        return new RequestTerms(
                 head.id(),
                 head.host(),
                 route,
@@ -63,7 +65,7 @@
                 spec.orElse(null),
                 head.promptShape(),
                 head.lastEventId(),
-                receivedAtMillis + patience);
+                receivedAtMillis + timeoutMillis);
     }
 
     RequestKind kind() {
@@ -78,8 +80,8 @@
         return route.promptAffinity() ? Optional.ofNullable(promptShape) : Optional.empty();
     }
 
-    /** Returns the tokens that it needs of an engine's memory at most. */
-    long tokens() {
+    /** Returns the maximum number of tokens that the request occupies in the memory of an engine. */
+    long maxTokens() {
         return prompt().map(prompt -> (long) prompt.promptTokens() + prompt.maxOutputTokens())
                 .orElse(0L);
     }
@@ -88,50 +90,57 @@
         return Optional.ofNullable(workspaceSpec);
     }
 
-    long leftMillis(long nowMillis) {
+    /** Returns the time until the deadline, in milliseconds. */
+    long remainingMillis(long nowMillis) {
         return deadlineMillis - nowMillis;
     }
 
-    /** Returns the rank of the request; a workspace's own goes before its route's. */
+    /**
+     * Returns the urgency; 0 is the most urgent. The priority of the workspace takes precedence over the priority of
+     * the route.
+     */
     int urgency() {
-        int rank = workspace().flatMap(Terms::rank).orElse(route.priority());
-        return Math.min(LEAST_URGENT, Math.max(0, rank));
+        int priority = workspace().flatMap(RequestTerms::priority).orElse(route.priority());
+        return Math.min(LEAST_URGENT, Math.max(0, priority));
     }
 
-    /** Tells whether the chosen endpoint holds all the work that it should. */
-    boolean full(PlacementChoice choice) {
+    /** Tells whether the chosen endpoint already has as many requests as it should. */
+    boolean atQueueLimit(PlacementChoice choice) {
         boolean engine = serviceSpec != null && serviceSpec.engine().isPresent();
         QueueLimit limit = engine ? QueueLimit.ENGINE : QueueLimit.PLAIN;
         return choice.load() >= limit.requests(choice.endpoint().slots());
     }
 
-    /** Returns what endpoints bear shortly after their start; null if that is no less than later. */
+    /** Returns the limits for endpoints that have just started, or null if there are none. */
     @Nullable
     ColdStart coldStart() {
         return serviceSpec == null ? null : serviceSpec.coldStartSpec();
     }
 
-    /** Tells whether the request may run in a data centre: where route and workspace both name regions, both bind. */
+    /**
+     * Tells whether the request may be executed in a data centre. If both the route and the workspace restrict the
+     * regions, both restrictions apply.
+     */
     boolean mayRunIn(DataCentre dataCentre, RegionMap regions) {
         boolean byRoute = regions.within(dataCentre, route.allowedRegions());
         return byRoute && (workspaceSpec == null || regions.within(dataCentre, workspaceSpec.allowedRegions()));
     }
 
-    ForwardingHead forwarding(
+    ForwardingHead forwardingHead(
             ServiceEndpoint endpoint,
-            long leftMillis,
+            long remainingMillis,
             Optional<String> resumeAfter,
             @Nullable ServiceEndpoint cacheHolder) {
         return new ForwardingHead(
                 endpoint.name(),
-                leftMillis,
+                remainingMillis,
                 urgency(),
                 workspaceSpec == null ? null : workspaceSpec.name(),
                 resumeAfter.orElse(callerLastEventId),
                 cacheHolder == null ? null : cacheHolder.address());
     }
 
-    private static Optional<Integer> rank(Workspace workspace) {
+    private static Optional<Integer> priority(Workspace workspace) {
         return workspace.priority().isPresent()
                 ? Optional.of(workspace.priority().getAsInt())
                 : Optional.empty();
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Resolution.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Resolution.java
@@ -2,21 +2,21 @@
 
 import org.radishpass.core.outcome.RefusalCode;
 
-/** What was found out of a request before anything is sent for it. */
+/** The result of resolving a request, before anything is sent to an endpoint. */
 sealed interface Resolution {
     /**
-     * It can be served.
+     * The request can be served.
      *
-     * @param terms on what terms
+     * @param terms the terms on which the request is served
      */
-    record Resolved(Terms terms) implements Resolution {}
+    record Resolved(RequestTerms terms) implements Resolution {}
 
     /**
-     * It is refused; it has not run.
+     * The request is refused and was not executed.
      *
-     * @param code why
-     * @param detail for people
-     * @param delay when to come back
+     * @param code the reason
+     * @param detail a sentence that describes the reason
+     * @param delay when the caller should retry
      */
     record Refused(RefusalCode code, String detail, RetryDelay delay) implements Resolution {}
 }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseRelay.java
@@ -0,0 +1,153 @@
+package org.radishpass.routing.traffic;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.CompositeByteBuf;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.Optional;
+import org.jspecify.annotations.Nullable;
+import org.radishpass.routing.config.RequestKind;
+
+/**
+ * Relays the response of an endpoint to the caller. Only the hop-by-hop headers and the framing are changed.
+ *
+ * <p>A short response is buffered until it is complete, and the head of a stream is sent together with its first event.
+ * Until then the request can still be retried at another endpoint when the attempt fails.
+ */
+final class ResponseRelay {
+    /** Size in bytes up to which a response is buffered until it is complete. */
+    private static final int MAX_BUFFERED_BYTES = 65_536;
+
+    private final CallerConnection caller;
+    private final RequestKind kind;
+    private final @Nullable SseEventSplitter events;
+    private @Nullable HttpResponse head;
+    private @Nullable CompositeByteBuf buffered;
+    private boolean started;
+    private boolean chunked;
+
+    ResponseRelay(CallerConnection caller, RequestKind kind) {
+        this.caller = caller;
+        this.kind = kind;
+        this.events = kind.resumes() ? new SseEventSplitter() : null;
+    }
+
+    /** Tells whether any part of the response has been sent to the caller. */
+    boolean started() {
+        return started;
+    }
+
+    /**
+     * Returns the id of the last event that was sent to the caller, or empty if the stream cannot be resumed at another
+     * endpoint.
+     */
+    Optional<String> lastEventId() {
+        return events == null ? Optional.empty() : Optional.ofNullable(events.lastId());
+    }
+
+    /** Takes the head of a response. Ignored if the head of an earlier attempt has already been sent to the caller. */
+    void relayHead(HttpResponse response) {
+        if (started) {
+            return;
+        }
+        DefaultHttpResponse copy = new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status());
+        copy.headers().set(response.headers());
+        HopByHop.strip(copy.headers());
+        chunked = kind.streams() || !HttpUtil.isContentLengthSet(response);
+        if (chunked) {
+            copy.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
+            copy.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        head = copy;
+    }
+
+    /** Relays a part of the body and releases it. */
+    void relayContent(ByteBuf part) {
+        if (events != null && successful()) {
+            ByteBuf completeEvents = events.append(part, caller.allocator());
+            if (completeEvents.isReadable()) {
+                forward(completeEvents);
+            } else {
+                completeEvents.release();
+            }
+            return;
+        }
+        if (kind.streams() && successful()) {
+            forward(part);
+            return;
+        }
+        buffer(part);
+    }
+
+    /**
+     * Ends the response to the caller.
+     *
+     * @return false if the response ended in the middle of an event; the response to the caller then stays open
+     */
+    boolean complete() {
+        if (events != null && events.hasPartialEvent()) {
+            return false;
+        }
+        start();
+        caller.finishResponse();
+        return true;
+    }
+
+    /** Discards everything that has not been sent to the caller. Called when an attempt fails. */
+    void discardPending() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
+        }
+        if (events != null) {
+            events.discardPartial();
+        }
+        if (!started) {
+            head = null;
+        }
+    }
+
+    void flush() {
+        caller.flush();
+    }
+
+    private boolean successful() {
+        return started || head == null || head.status().code() < HttpResponseStatus.BAD_REQUEST.code();
+    }
+
+    private void buffer(ByteBuf part) {
+        if (started) {
+            forward(part);
+            return;
+        }
+        if (buffered == null) {
+            buffered = caller.allocator().compositeBuffer(Integer.MAX_VALUE >> 1);
+        }
+        buffered.addComponent(true, part);
+        if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+            start();
+        }
+    }
+
+    private void forward(ByteBuf part) {
+        start();
+        caller.responseContent(part);
+    }
+
+    private void start() {
+        if (started || head == null) {
+            return;
+        }
+        started = true;
+        caller.startResponse(head);
+        if (buffered != null) {
+            caller.responseContent(buffered);
+            buffered = null;
+        }
+    }
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/AnswerWriter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseWriter.java
@@ -15,27 +15,31 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Writes the answers to one caller, and closes the connection after the last one. Belongs to the traffic thread. */
-final class AnswerWriter {
-    private final TrafficTools tools;
-    private @Nullable ChannelHandlerContext context;
-    private boolean endsConnection;
+/**
+ * Writes the responses to one caller and closes the connection after the last one. Confined to the traffic event loop.
+ */
+final class ResponseWriter {
+    private final TrafficContext context;
+    private @Nullable ChannelHandlerContext channelContext;
+    private boolean closeAfterResponse;
 
-    AnswerWriter(TrafficTools tools) {
-        this.tools = tools;
+    ResponseWriter(TrafficContext context) {
+        this.context = context;
     }
 
-    /** Learns where to write. */
-    void added(ChannelHandlerContext ctx) {
-        this.context = ctx;
+    /** Stores the channel context that responses are written to. */
+    void handlerAdded(ChannelHandlerContext ctx) {
+        this.channelContext = ctx;
     }
 
-    /** Sets whether the connection ends with the answer that comes next, because the caller or the protocol asks for it. */
-    void endsConnection(boolean ends) {
-        endsConnection = ends;
+    /**
+     * Sets whether the connection is closed after the next response, because the caller or the protocol requires it.
+     */
+    void closeAfterResponse(boolean close) {
+        closeAfterResponse = close;
     }
 
-    /** Writes the head of an answer whose body follows. */
+    /** Writes the head of a response whose body follows. */
     void start(HttpResponse head) {
         prepare(head);
         var unused = ctx().write(head, ctx().voidPromise());
@@ -47,23 +51,23 @@
     }
 
     /**
-     * Ends the answer whose head was written.
+     * Ends the response whose head was written.
      *
      * @return whether the connection stays open
      */
     boolean finish() {
-        return last(ctx().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+        return closeIfRequested(ctx().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
 
     /**
-     * Writes a whole answer of the router's own.
+     * Writes a complete response that the router itself creates.
      *
-     * @param status its status
-     * @param body its body, which is released
-     * @param retryAfter when the caller is to come back, or null if that is not said
+     * @param status the status
+     * @param body the body, which is released
+     * @param retryAfter the value of the Retry-After header, or null for no such header
      * @return whether the connection stays open
      */
-    boolean whole(HttpResponseStatus status, ByteBuf body, @Nullable String retryAfter) {
+    boolean writeComplete(HttpResponseStatus status, ByteBuf body, @Nullable String retryAfter) {
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
@@ -71,26 +75,26 @@
             response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfter);
         }
         prepare(response);
-        return last(ctx().writeAndFlush(response));
+        return closeIfRequested(ctx().writeAndFlush(response));
     }
 
-    private boolean last(ChannelFuture written) {
-        if (endsConnection) {
+    private boolean closeIfRequested(ChannelFuture written) {
+        if (closeAfterResponse) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
-        return !endsConnection;
+        return !closeAfterResponse;
     }
 
     private void prepare(HttpResponse head) {
-        if (tools.stopping()) {
-            endsConnection = true;
+        if (context.stopping()) {
+            closeAfterResponse = true;
         }
-        if (endsConnection) {
+        if (closeAfterResponse) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
     }
 
     private ChannelHandlerContext ctx() {
-        return Objects.requireNonNull(context, "not yet added to a channel");
+        return Objects.requireNonNull(channelContext, "not yet added to a channel");
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RetryDelay.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RetryDelay.java
@@ -4,23 +4,23 @@
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.outcome.RefusalCode;
 
-/** When a caller whose request has not run is told to come back. */
+/** The delay after which a caller should retry a request that was not executed. */
 enum RetryDelay {
-    /** Coming back makes no sense, or nothing is promised. */
+    /** A retry is pointless, or it is unknown whether the request was executed. */
     NONE(0),
-    /** At once: another router takes the request. */
-    ELSEWHERE(10),
+    /** Immediately, since another router accepts the request. */
+    OTHER_ROUTER(10),
     /** A process that has just started knows its configuration within about half a second. */
     NOT_READY(300),
-    /** Endpoints that have gone are replaced, or found again, within about half a second. */
+    /** Endpoints that are gone are replaced, or reachable again, within about half a second. */
     NO_ENDPOINT(250),
-    /** The shortest time for which a request is held back that ends its endpoints; coming back sooner makes no sense. */
+    /** The minimum time for which a request that crashes its endpoints is quarantined; an earlier retry is refused. */
     QUARANTINED(60_000),
-    /** A place becomes free within a few turns of a plain service. */
+    /** A slot becomes free within the time of a few requests to a plain service. */
     OVERLOADED(100);
 
-    /** Milliseconds over which callers come back at most; more would only make them wait. */
-    private static final long LONGEST_SPREAD_MILLIS = 1_000;
+    /** Maximum jitter in milliseconds; a larger jitter would only make callers wait. */
+    private static final long MAX_JITTER_MILLIS = 1_000;
 
     private final long millis;
 
@@ -38,23 +38,26 @@
         };
     }
 
-    /** Returns the header's value, spread by half so that callers do not come back together; null for none. */
+    /**
+     * Returns the value of the Retry-After header, increased by a random jitter of up to half of the delay so that
+     * callers do not retry simultaneously; null for no header.
+     */
     @Nullable
     String header() {
-        return this == NONE ? null : spread(millis);
+        return this == NONE ? null : withJitter(millis);
     }
 
     /**
-     * Returns the header's value where it is known when an endpoint takes requests again.
+     * Returns the value of the Retry-After header if the time is known at which an endpoint accepts requests again.
      *
      * @param untilMillis the milliseconds until then
      */
     static String header(long untilMillis) {
-        return spread(Math.max(untilMillis, OVERLOADED.millis));
+        return withJitter(Math.max(untilMillis, OVERLOADED.millis));
     }
 
-    private static String spread(long millis) {
-        long most = Math.min(millis / 2, LONGEST_SPREAD_MILLIS);
-        return Refusals.seconds(millis + ThreadLocalRandom.current().nextLong(most + 1));
+    private static String withJitter(long millis) {
+        long maxJitterMillis = Math.min(millis / 2, MAX_JITTER_MILLIS);
+        return Refusals.seconds(millis + ThreadLocalRandom.current().nextLong(maxJitterMillis + 1));
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RoutingView.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RoutingView.java
@@ -10,19 +10,22 @@
 import org.radishpass.routing.fleet.FleetMembers;
 
 /**
- * What the control side believes at one moment; immutable, published to the traffic thread as a whole.
+ * An immutable snapshot of the configuration and the endpoints as known to the control plane, published to the traffic
+ * event loop as a whole.
  *
- * @param published the configuration in force, or null before the first is known
- * @param inForceSinceMillis since when it is in force here, on the monotonic clock in milliseconds
- * @param newerExpectedUntilMillis until when a newer one is expected that is known to exist, on the monotonic clock in milliseconds; long
- *     ago if there is none
+ * @param published the configuration in force, or null before the first one is known
+ * @param inForceSinceMillis since when the configuration is in force at this router, on the monotonic clock in
+ *     milliseconds
+ * @param newerExpectedUntilMillis until when a newer configuration that is known to exist is expected, on the monotonic
+ *     clock in milliseconds; a time in the past if there is none
  * @param directory the endpoints
- * @param directoryKnown whether a list of endpoints has been read at all
- * @param arriving whether what is still missing is on its way: something of it has come lately
- * @param origin where the list of endpoints comes from
- * @param routers the routers that are registered, this one included; {@link #ROUTERS_UNKNOWN} before peers were joined
- * @param eligibility what keeps endpoints from new work
- * @param members the routers by name, for duties that are shared out
+ * @param directoryKnown whether an endpoint list has been read
+ * @param arriving whether the missing part of the view is being received, that is, a part of the data has arrived
+ *     recently
+ * @param origin the origin of the endpoint list
+ * @param routers the number of registered routers, including this one; {@link #ROUTERS_UNKNOWN} before peers are known
+ * @param eligibility the restrictions that exclude endpoints from new requests
+ * @param members the routers by name, used to assign shared duties
  * @since 0.2.0
  */
 public record RoutingView(
@@ -36,14 +39,14 @@
         int routers,
         EndpointEligibility eligibility,
         FleetMembers members) {
-    /** The number of routers while nothing is known of others. */
+    /** The value of {@link #routers} while no other routers are known. */
     public static final int ROUTERS_UNKNOWN = 0;
 
-    /** What is believed before anything is known. */
+    /** The view before anything is known. */
     public static final RoutingView UNKNOWN =
             new RoutingView(null, 0, EndpointDirectory.EMPTY, false, false, DirectoryOrigin.UNKNOWN, ROUTERS_UNKNOWN);
 
-    /** Creates a view in which nothing keeps endpoints from new work, and the other routers are not known by name. */
+    /** Creates a view without restrictions on endpoints, in which the other routers are not known by name. */
     public RoutingView(
             @Nullable RoutingConfiguration published,
             long inForceSinceMillis,
@@ -70,12 +73,12 @@
         return Optional.ofNullable(published);
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits on what callers may send. */
     public CallerLimits limits() {
         return published == null ? CallerLimits.DEFAULT : published.limits();
     }
 
-    /** Tells whether requests can be routed. */
+    /** Tells whether requests can be routed, that is, a configuration and an endpoint list are known. */
     public boolean complete() {
         return published != null && directoryKnown;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
@@ -5,69 +5,72 @@
 import org.radishpass.core.outcome.Verdict;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** Where one request was sent, and what may be said of whether it has run. */
+/** The endpoints that one request was sent to, and whether the request may have been executed. */
 final class SendHistory {
-    /** Endpoints that may reject a request, and one more, until it is refused: by then most of the service is short of room. */
-    private static final int MOST_REJECTIONS = 3;
+    /**
+     * Maximum number of rejections after which the request is still sent once more. By then most endpoints of the
+     * service have no capacity.
+     */
+    private static final int MAX_REJECTIONS = 3;
 
     private final List<String> triedEndpoints = new ArrayList<>();
     private Verdict verdict = Verdict.NOT_RUN;
     private Verdict verdictBeforeLast = Verdict.NOT_RUN;
     private int sends;
     private int rejections;
-    private long sentAtMillis;
+    private long lastSentAtMillis;
 
-    /** Notes that the request is sent now: from here on it may run. */
+    /** Records that the request is being sent. From here on the endpoint may execute the request. */
     void sent(long nowMillis) {
         sends++;
-        sentAtMillis = nowMillis;
+        lastSentAtMillis = nowMillis;
         verdictBeforeLast = verdict;
         verdict = verdict.and(Verdict.MAY_HAVE_RUN);
     }
 
-    /** The endpoint that it was sent to last has proved that it did not run it. */
-    void lastNotRun() {
+    /** Records that the last endpoint has proved that it did not execute the request. */
+    void lastSendNotExecuted() {
         verdict = verdictBeforeLast;
         rejections++;
     }
 
-    /** Notes an endpoint that it is not to be given to again. */
+    /** Records an endpoint that the request must not be sent to again. */
     void tried(ServiceEndpoint endpoint) {
         triedEndpoints.add(endpoint.id());
     }
 
-    /** Returns the endpoints that it is not to be given to again. */
+    /** Returns the ids of the endpoints that the request must not be sent to again. */
     List<String> triedEndpoints() {
         return triedEndpoints;
     }
 
-    /** Returns what may be said of whether it has run. */
+    /** Returns whether the request may have been executed. */
     Verdict verdict() {
         return verdict;
     }
 
-    /** Tells whether no endpoint can have run it. */
+    /** Tells whether the request has certainly not been executed. */
     boolean notRun() {
         return verdict == Verdict.NOT_RUN;
     }
 
     /**
-     * Tells whether it may be sent once more. An endpoint that has proved that it did not run the request does not count against the
-     * attempts of its route, but no request is offered to more than a few of them.
+     * Tells whether the request may be sent again. A send that the endpoint provably did not execute does not count
+     * against the attempts of the route, but the number of such rejections is limited.
      *
-     * @param maxAttempts the endpoints that may run it
+     * @param maxAttempts the maximum number of endpoints that may execute the request
      */
     boolean maySendAgain(int maxAttempts) {
-        return sends - rejections < maxAttempts && rejections <= MOST_REJECTIONS;
+        return sends - rejections < maxAttempts && rejections <= MAX_REJECTIONS;
     }
 
-    /** Returns how often it was sent. */
+    /** Returns how many times the request was sent. */
     int sends() {
         return sends;
     }
 
-    /** Returns how long ago it was sent last, in milliseconds. */
-    long sentMillisAgo(long nowMillis) {
-        return nowMillis - sentAtMillis;
+    /** Returns the time since the request was last sent, in milliseconds. */
+    long millisSinceLastSend(long nowMillis) {
+        return nowMillis - lastSentAtMillis;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EventFrames.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SseEventSplitter.java
@@ -7,61 +7,61 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream of server-sent events into whole events, and remembers the last one that was passed on.
+ * Splits a stream of server-sent events into complete events, and remembers the last event that was forwarded.
  *
- * <p>Only whole events are passed on, so that the stream can go on elsewhere after a break in the middle of one. Events up
- * to the last one passed on are dropped when they come again.
+ * <p>Only complete events are forwarded, so that a stream that fails in the middle of an event can be resumed at
+ * another endpoint. Events that a resumed stream repeats are dropped.
  */
-final class EventFrames {
+final class SseEventSplitter {
     private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
     private static final String ID_FIELD = "id:";
-    private static final long NO_EVENT = Long.MIN_VALUE;
+    private static final long NO_NUMERIC_ID = Long.MIN_VALUE;
 
     private ByteBuf partial = Unpooled.EMPTY_BUFFER;
     private @Nullable String lastId;
-    private long lastNumber = NO_EVENT;
-    private long eventsPassed;
+    private long lastNumericId = NO_NUMERIC_ID;
+    private long forwardedEvents;
 
     /**
-     * Takes bytes and returns the whole events that they complete; empty if none.
+     * Adds bytes of the stream, and returns the events that they complete; empty if none.
      *
-     * @param part the bytes; released here
-     * @param allocator makes buffers
+     * @param part the bytes, which are released
+     * @param allocator allocates the returned buffer
      */
-    ByteBuf take(ByteBuf part, ByteBufAllocator allocator) {
+    ByteBuf append(ByteBuf part, ByteBufAllocator allocator) {
         ByteBuf bytes = joined(part, allocator);
-        ByteBuf whole = allocator.buffer(bytes.readableBytes());
+        ByteBuf completeEvents = allocator.buffer(bytes.readableBytes());
         int start = bytes.readerIndex();
         int end = endOfEvent(bytes, start);
         while (end >= 0) {
-            pass(bytes, start, end, whole);
+            forward(bytes, start, end, completeEvents);
             start = end;
             end = endOfEvent(bytes, start);
         }
         bytes.readerIndex(start);
         partial = bytes;
-        return whole;
+        return completeEvents;
     }
 
-    /** Returns the id of the last event that was passed on, or null. */
+    /** Returns the id of the last event that was forwarded, or null. */
     @Nullable
     String lastId() {
         return lastId;
     }
 
-    /** Returns how many events were passed on. */
-    long eventsPassed() {
-        return eventsPassed;
+    /** Returns the number of events that were forwarded. */
+    long forwardedEvents() {
+        return forwardedEvents;
     }
 
     /** Tells whether the bytes so far end in the middle of an event. */
-    boolean insideEvent() {
+    boolean hasPartialEvent() {
         return partial.isReadable();
     }
 
-    /** Forgets a started event: its run has broken off. */
-    void dropPartial() {
+    /** Discards an incomplete event, since the attempt that sent it has failed. */
+    void discardPartial() {
         partial.release();
         partial = Unpooled.EMPTY_BUFFER;
     }
@@ -78,18 +78,18 @@
         return joined;
     }
 
-    private void pass(ByteBuf bytes, int start, int end, ByteBuf whole) {
+    private void forward(ByteBuf bytes, int start, int end, ByteBuf completeEvents) {
         String id = idOf(bytes.toString(start, end - start, StandardCharsets.US_ASCII));
         if (id != null) {
-            long number = number(id);
-            if (number != NO_EVENT && lastNumber != NO_EVENT && number <= lastNumber) {
+            long number = numericId(id);
+            if (number != NO_NUMERIC_ID && lastNumericId != NO_NUMERIC_ID && number <= lastNumericId) {
                 return;
             }
             lastId = id;
-            lastNumber = number;
+            lastNumericId = number;
         }
-        eventsPassed++;
-        whole.writeBytes(bytes, start, end - start);
+        forwardedEvents++;
+        completeEvents.writeBytes(bytes, start, end - start);
     }
 
     private static @Nullable String idOf(String event) {
@@ -102,32 +102,32 @@
                 .strip();
     }
 
-    private static long number(String id) {
+    private static long numericId(String id) {
         try {
             return Long.parseLong(id);
         } catch (NumberFormatException e) {
-            // an id need not be a number: then repeated events cannot be told apart, and all are passed on
-            return NO_EVENT;
+            // ids need not be numeric; repeated events are then not detected, and all events are forwarded
+            return NO_NUMERIC_ID;
         }
     }
 
-    /** Returns the index after the empty line that ends the event, or -1. */
+    /** Returns the index after the empty line that ends the event, or -1 if the event is incomplete. */
     private static int endOfEvent(ByteBuf bytes, int start) {
         int from = start;
         while (true) {
-            int feed = bytes.indexOf(from, bytes.writerIndex(), LINE_FEED);
-            if (feed < 0 || feed + 1 >= bytes.writerIndex()) {
+            int lineFeed = bytes.indexOf(from, bytes.writerIndex(), LINE_FEED);
+            if (lineFeed < 0 || lineFeed + 1 >= bytes.writerIndex()) {
                 return -1;
             }
-            if (bytes.getByte(feed + 1) == LINE_FEED) {
-                return feed + 2;
+            if (bytes.getByte(lineFeed + 1) == LINE_FEED) {
+                return lineFeed + 2;
             }
-            if (bytes.getByte(feed + 1) == CARRIAGE_RETURN
-                    && feed + 2 < bytes.writerIndex()
-                    && bytes.getByte(feed + 2) == LINE_FEED) {
-                return feed + 3;
+            if (bytes.getByte(lineFeed + 1) == CARRIAGE_RETURN
+                    && lineFeed + 2 < bytes.writerIndex()
+                    && bytes.getByte(lineFeed + 2) == LINE_FEED) {
+                return lineFeed + 3;
             }
-            from = feed + 1;
+            from = lineFeed + 1;
         }
     }
 }
