--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SuspensionAwareClock.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SuspensionAwareClock.java
@@ -10,86 +10,91 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A monotonic clock that counts the time in which the machine was suspended. The steady clock of a process does not: after a suspension
- * lists, permissions and news would look seconds younger than they are, and deadlines seconds further away.
+ * A monotonic clock that includes the time in which the machine was suspended. The steady clock of a process does not
+ * include it: after a suspension, endpoint lists, permissions and messages would appear seconds younger than they are,
+ * and deadlines seconds further away.
  *
- * <p>The time of day jumps ahead by a suspension, but also when somebody sets it. Which of the two it was is told by the time since the
- * machine was booted, which counts suspensions and nothing else; it is asked only after a jump, since it costs a hundred times as much.
- * Any thread may ask.
+ * <p>The wall clock jumps forward by a suspension, but also when it is set. The uptime of the machine distinguishes the
+ * two cases, since it includes suspensions and ignores changes of the wall clock. The uptime is read only after a jump
+ * of the wall clock, because reading it takes a hundred times as long. Thread-safe.
  *
  * @since 0.6.0
  */
 public final class SuspensionAwareClock implements MonotonicClock {
-    /** Milliseconds by which the time of day must jump to be looked into: far above what time services correct at a time. */
-    private static final long JUMP_MILLIS = 50;
+    /**
+     * Smallest jump of the wall clock in milliseconds that is examined; far above the corrections of time
+     * synchronization.
+     */
+    private static final long MIN_JUMP_MILLIS = 50;
 
-    /** Milliseconds up to which the boot time may differ without a suspension: it is told in steps of 10 ms. */
-    private static final long COARSE_MILLIS = 30;
+    /** Milliseconds by which the uptime may deviate without a suspension; its resolution is 10 ms. */
+    private static final long UPTIME_TOLERANCE_MILLIS = 30;
 
     private static final Logger LOG = LoggerFactory.getLogger(SuspensionAwareClock.class);
 
     private final LongSupplier steadyMillis;
-    private final LongSupplier timeOfDayMillis;
-    private final Supplier<OptionalLong> bootTimeMillis;
-    private volatile long timeOfDayAhead;
+    private final LongSupplier wallClockMillis;
+    private final Supplier<OptionalLong> uptimeMillis;
+    private volatile long wallClockOffsetMillis;
     private volatile long suspendedMillis;
-    private OptionalLong bootTimeAhead;
+    private OptionalLong uptimeOffsetMillis;
 
     /**
      * Creates a clock.
      *
-     * @param steadyMillis the process's steady clock, in milliseconds
-     * @param timeOfDayMillis the time of day, in milliseconds
-     * @param bootTimeMillis the time since the machine was booted, in milliseconds; empty where it cannot be read
+     * @param steadyMillis the steady clock of the process, in milliseconds
+     * @param wallClockMillis the wall clock, in milliseconds
+     * @param uptimeMillis the time since the machine was booted, in milliseconds; empty where it cannot be read
      */
     public SuspensionAwareClock(
-            LongSupplier steadyMillis, LongSupplier timeOfDayMillis, Supplier<OptionalLong> bootTimeMillis) {
+            LongSupplier steadyMillis, LongSupplier wallClockMillis, Supplier<OptionalLong> uptimeMillis) {
         this.steadyMillis = steadyMillis;
-        this.timeOfDayMillis = timeOfDayMillis;
-        this.bootTimeMillis = bootTimeMillis;
+        this.wallClockMillis = wallClockMillis;
+        this.uptimeMillis = uptimeMillis;
         long steady = steadyMillis.getAsLong();
-        this.timeOfDayAhead = timeOfDayMillis.getAsLong() - steady;
-        this.bootTimeAhead = bootTimeAhead();
+        this.wallClockOffsetMillis = wallClockMillis.getAsLong() - steady;
+        this.uptimeOffsetMillis = uptimeOffsetMillis();
     }
 
     @Override
     public long millis() {
         long steady = steadyMillis.getAsLong();
-        if (jumped(timeOfDayMillis.getAsLong() - steady)) {
-            countSuspension();
+        if (jumped(wallClockMillis.getAsLong() - steady)) {
+            handleJump();
         }
         return steady + suspendedMillis;
     }
 
-    private boolean jumped(long ahead) {
-        return Math.abs(ahead - timeOfDayAhead) > JUMP_MILLIS;
+    private boolean jumped(long offsetMillis) {
+        return Math.abs(offsetMillis - wallClockOffsetMillis) > MIN_JUMP_MILLIS;
     }
 
-    private synchronized void countSuspension() {
+    private synchronized void handleJump() {
         long steady = steadyMillis.getAsLong();
-        long ahead = timeOfDayMillis.getAsLong() - steady;
-        long jumpMillis = ahead - timeOfDayAhead;
-        timeOfDayAhead = ahead;
-        OptionalLong bootAhead = bootTimeAhead();
-        long lostMillis = bootAhead.isPresent() && bootTimeAhead.isPresent()
-                ? bootAhead.getAsLong() - bootTimeAhead.getAsLong()
+        long offsetMillis = wallClockMillis.getAsLong() - steady;
+        long jumpMillis = offsetMillis - wallClockOffsetMillis;
+        wallClockOffsetMillis = offsetMillis;
+        OptionalLong newUptimeOffsetMillis = uptimeOffsetMillis();
+        long addedMillis = newUptimeOffsetMillis.isPresent() && uptimeOffsetMillis.isPresent()
+                ? newUptimeOffsetMillis.getAsLong() - uptimeOffsetMillis.getAsLong()
                 : 0;
-        bootTimeAhead = bootAhead;
-        boolean suspended = lostMillis > COARSE_MILLIS && Math.abs(lostMillis - jumpMillis) <= JUMP_MILLIS;
+        uptimeOffsetMillis = newUptimeOffsetMillis;
+        boolean suspended =
+                addedMillis > UPTIME_TOLERANCE_MILLIS && Math.abs(addedMillis - jumpMillis) <= MIN_JUMP_MILLIS;
         if (suspended) {
-            suspendedMillis += lostMillis;
+            suspendedMillis += addedMillis;
             LOG.warn(
-                    "the machine was suspended for {} ms; all ages count them",
-                    lostMillis,
+                    "the machine was suspended for {} ms; the clock includes this time",
+                    addedMillis,
                     LogEvent.SUSPENDED.field(),
-                    kv("millis", lostMillis));
+                    kv("millis", addedMillis));
         } else {
-            LOG.info("the time of day was set by {} ms; nothing counts it", jumpMillis);
+            LOG.info("the wall clock was changed by {} ms; the monotonic clock ignores the change", jumpMillis);
         }
     }
 
-    private OptionalLong bootTimeAhead() {
-        OptionalLong boot = bootTimeMillis.get();
-        return boot.isPresent() ? OptionalLong.of(boot.getAsLong() - steadyMillis.getAsLong()) : boot;
+    private OptionalLong uptimeOffsetMillis() {
+        OptionalLong uptime = uptimeMillis.get();
+        return uptime.isPresent() ? OptionalLong.of(uptime.getAsLong() - steadyMillis.getAsLong()) : uptime;
     }
 }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficContext.java
@@ -0,0 +1,280 @@
+package org.radishpass.routing.traffic;
+
+import io.netty.channel.EventLoop;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import org.radishpass.routing.dialect.RequestDialect;
+import org.radishpass.routing.fleet.ServiceEndpoint;
+import org.radishpass.routing.health.AnswerPatience;
+import org.radishpass.routing.health.HealthBook;
+import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.placement.EndpointChooser;
+import org.radishpass.routing.quarantine.AtWork;
+import org.radishpass.routing.quarantine.Quarantine;
+import org.radishpass.routing.retry.SharedRetryBudget;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The state and the components that all connections and requests of the traffic event loop share. Confined to the
+ * traffic event loop.
+ */
+final class TrafficContext {
+    /**
+     * Milliseconds between checks of the requests that wait for the configuration or for a backoff to end; short
+     * compared with a response time.
+     */
+    private static final long QUEUE_CHECK_MILLIS = 20;
+
+    private static final Logger LOG = LoggerFactory.getLogger(TrafficContext.class);
+
+    private final EventLoop loop;
+    private final MonotonicClock clock;
+    private final Supplier<RoutingView> views;
+    private final RequestDialect dialect;
+    private final EndpointConnections connections;
+    private final EndpointSignals signals;
+    private final EndpointChooser chooser;
+    private final InFlightBook inFlight;
+    private final HealthBook health;
+    private final SharedRetryBudget retryBudget;
+    private final RequestLog requestLog;
+    private final EndpointListener listener;
+    private final Set<CallerConnection> callers = new LinkedHashSet<>();
+    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private final RequestResolver resolver;
+    private final RequestPlacer placer = new RequestPlacer(this);
+    private final ColdEndpointGuard coldGuard = new ColdEndpointGuard(this);
+    private final EndpointProber prober = new EndpointProber(this);
+    private final EndpointExitDetector exitDetector = new EndpointExitDetector(this::endpointExited);
+    private final Quarantine quarantine;
+    private final AnswerPatience responseTimes = new AnswerPatience();
+    private final ArrivalQueue arrivalQueue;
+    private final HeldArrivals heldArrivals;
+    private final BackoffQueue backoffQueue;
+    private boolean stopping;
+    private boolean refusingNew;
+    private boolean stopped;
+
+    TrafficContext(
+            EventLoop loop,
+            MonotonicClock clock,
+            Supplier<RoutingView> views,
+            RequestDialect dialect,
+            EndpointConnections connections,
+            EndpointSignals signals,
+            EndpointChooser chooser,
+            InFlightBook inFlight,
+            HealthBook health,
+            SharedRetryBudget retryBudget,
+            RequestLog requestLog,
+            EndpointListener listener) {
+        this.loop = loop;
+        this.clock = clock;
+        this.views = views;
+        this.dialect = dialect;
+        this.resolver = new RequestResolver(dialect);
+        this.connections = connections;
+        this.signals = signals;
+        this.chooser = chooser;
+        this.inFlight = inFlight;
+        this.health = health;
+        this.retryBudget = retryBudget;
+        this.requestLog = requestLog;
+        this.quarantine = new Quarantine(requestLog);
+        this.listener = listener;
+        this.arrivalQueue = new ArrivalQueue(
+                iteration -> {
+                    var unused = loop.schedule(iteration, 0, TimeUnit.MILLISECONDS);
+                },
+                clock::millis);
+        this.heldArrivals = new HeldArrivals(clock::millis, this::awaitsConfiguration, arrivalQueue::addAll, check -> {
+            var unused = loop.schedule(check, QUEUE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        });
+        this.backoffQueue = new BackoffQueue(clock::millis, check -> {
+            var unused = loop.schedule(check, QUEUE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        });
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    /**
+     * Runs a task on the event loop repeatedly, with a fixed delay between runs. A task that throws an exception is
+     * logged and runs again.
+     */
+    void scheduleRepeatedly(long millis, Runnable task) {
+        var unused = loop.scheduleWithFixedDelay(
+                () -> {
+                    try {
+                        task.run();
+                    } catch (RuntimeException e) {
+                        LOG.error("a periodic task of the traffic event loop failed; it will run again", e);
+                    }
+                },
+                millis,
+                millis,
+                TimeUnit.MILLISECONDS);
+    }
+
+    long nowMillis() {
+        return clock.millis();
+    }
+
+    RoutingView view() {
+        return views.get();
+    }
+
+    RequestDialect dialect() {
+        return dialect;
+    }
+
+    RequestResolver resolver() {
+        return resolver;
+    }
+
+    RequestPlacer placer() {
+        return placer;
+    }
+
+    /** Returns the limits on requests to endpoints that have just started. */
+    ColdEndpointGuard coldGuard() {
+        return coldGuard;
+    }
+
+    EndpointConnections connections() {
+        return connections;
+    }
+
+    /** Returns a filter for the endpoints that requests may be sent to now. */
+    EndpointFilter filter() {
+        return new EndpointFilter(view(), signals);
+    }
+
+    /** Returns what endpoints have stated about themselves in their responses. */
+    EndpointSignals signals() {
+        return signals;
+    }
+
+    EndpointChooser chooser() {
+        return chooser;
+    }
+
+    InFlightBook inFlight() {
+        return inFlight;
+    }
+
+    HealthBook health() {
+        return health;
+    }
+
+    AnswerPatience responseTimes() {
+        return responseTimes;
+    }
+
+    EndpointProber prober() {
+        return prober;
+    }
+
+    EndpointExitDetector exitDetector() {
+        return exitDetector;
+    }
+
+    /** Returns the quarantine of requests that crash endpoints. */
+    Quarantine quarantine() {
+        return quarantine;
+    }
+
+    /**
+     * Handles the exit of an endpoint. The exit of an endpoint that had announced that it is leaving is regular, and
+     * does not make the requests in flight there suspicious.
+     */
+    private void endpointExited(ServiceEndpoint endpoint, List<AtWork> inFlightRequests) {
+        requestLog.endpointExited(endpoint, inFlightRequests);
+        if (!filter().leaving(endpoint)) {
+            quarantine.ended(endpoint.service(), endpoint.hash(), inFlightRequests, nowMillis());
+        }
+    }
+
+    SharedRetryBudget retryBudget() {
+        return retryBudget;
+    }
+
+    /**
+     * Takes one retry from the retry budget.
+     *
+     * @return false if the budget is exhausted
+     */
+    boolean trySpendRetry(String service) {
+        retryBudget.routers(view().routers());
+        return retryBudget.trySpend(service, nowMillis());
+    }
+
+    ArrivalQueue arrivalQueue() {
+        return arrivalQueue;
+    }
+
+    /** Returns the requests that arrived before the configuration was known. */
+    HeldArrivals heldArrivals() {
+        return heldArrivals;
+    }
+
+    /** Returns the requests that wait for a backoff to end. */
+    BackoffQueue backoffQueue() {
+        return backoffQueue;
+    }
+
+    private boolean awaitsConfiguration() {
+        RoutingView view = view();
+        return !view.complete() && view.arriving() && !stopped;
+    }
+
+    RequestLog requestLog() {
+        return requestLog;
+    }
+
+    /** Notifies the control plane that another process has taken over the address of an endpoint. */
+    void reportGone(ServiceEndpoint endpoint) {
+        listener.gone(endpoint);
+    }
+
+    Set<CallerConnection> callers() {
+        return callers;
+    }
+
+    Set<Exchange> exchanges() {
+        return exchanges;
+    }
+
+    /** Tells whether connections are closed after their next response, because the process is stopping. */
+    boolean stopping() {
+        return stopping;
+    }
+
+    void markStopping() {
+        stopping = true;
+    }
+
+    /** Tells whether new long-running requests are refused, because they could not end before the process does. */
+    boolean refusingNew() {
+        return refusingNew;
+    }
+
+    /** Tells whether no more requests are forwarded, because the process ends. */
+    boolean stopped() {
+        return stopped;
+    }
+
+    void markStopped() {
+        refusingNew = true;
+        stopped = true;
+    }
+
+    void refuseNew() {
+        refusingNew = true;
+    }
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficServer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficServer.java
@@ -37,17 +37,19 @@
 import org.radishpass.routing.retry.SharedRetryBudget;
 
 /**
- * Takes callers' requests and serves them. All of its state belongs to one event loop, the traffic thread; its methods
- * may be called from any thread.
+ * Receives the requests of callers and serves them. Its state is confined to one event loop, the traffic event loop.
+ * The methods may be called from any thread.
  *
  * @since 0.2.0
  */
 public final class TrafficServer implements WorkSource, SuspectSource {
-    /** Milliseconds between looks at endpoints: a fraction of the silence that is looked into. */
-    private static final long LOOK_MILLIS = 100;
+    /**
+     * Milliseconds between checks for endpoints to probe; a fraction of the silence after which an endpoint is probed.
+     */
+    private static final long PROBE_INTERVAL_MILLIS = 100;
 
-    /** Milliseconds between tidying: connections near their end, peers that fell silent. */
-    private static final long TIDY_MILLIS = 500;
+    /** Milliseconds between cleanups of connections close to their timeout, silent peers and other expired state. */
+    private static final long CLEANUP_INTERVAL_MILLIS = 500;
 
     private static final int MAX_INITIAL_LINE = 8_192;
     private static final int MAX_CHUNK = 65_536;
@@ -55,24 +57,25 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final Supplier<RoutingView> views;
-    private final InFlightBook book = new InFlightBook();
+    private final InFlightBook inFlight = new InFlightBook();
     private final HealthBook health = new HealthBook();
-    private final SharedRetryBudget budget;
+    private final SharedRetryBudget retryBudget;
     private final EndpointSignals signals;
     private final EndpointConnections connections;
-    private final TrafficTools tools;
+    private final TrafficContext context;
     private final List<Channel> listening = new ArrayList<>();
 
     /**
      * Creates a server that does not listen yet.
      *
-     * @param loop the traffic thread
+     * @param loop the traffic event loop
      * @param clock the monotonic clock
-     * @param views gives what the control side believes
-     * @param dialect translates heads
-     * @param home where this router stands
-     * @param listener hears what answers tell of endpoints; called on the traffic thread
-     * @param metrics where counters are kept
+     * @param views supplies the current view of the control plane
+     * @param dialect translates request and response heads
+     * @param home the data centre of this router
+     * @param listener receives notifications about endpoints that follow from their responses; called on the traffic
+     *     event loop
+     * @param metrics the registry of the metrics
      */
     public TrafficServer(
             EventLoop loop,
@@ -85,31 +88,31 @@
         this.loop = loop;
         this.clock = clock;
         this.views = views;
-        this.budget = new SharedRetryBudget(RetryAllowance.DEFAULT, clock.millis());
+        this.retryBudget = new SharedRetryBudget(RetryAllowance.DEFAULT, clock.millis());
         RequestLog log = new RequestLog(metrics);
         this.signals = new EndpointSignals(clock, () -> views.get().directory(), log, listener, metrics);
         this.connections = new EndpointConnections(loop, dialect, health, signals, clock, metrics);
-        this.tools = new TrafficTools(
+        this.context = new TrafficContext(
                 loop,
                 clock,
                 views,
                 dialect,
                 connections,
                 signals,
-                new EndpointChooser(book, home),
-                book,
+                new EndpointChooser(inFlight, home),
+                inFlight,
                 health,
-                budget,
+                retryBudget,
                 log,
                 listener);
-        Gauge.builder("radishpass.requests.active", tools.exchanges(), java.util.Set::size)
+        Gauge.builder("radishpass.requests.active", context.exchanges(), java.util.Set::size)
                 .description("requests in progress")
                 .register(metrics);
-        Gauge.builder("radishpass.requests.waiting", tools.backoffQueue(), BackoffQueue::size)
+        Gauge.builder("radishpass.requests.waiting", context.backoffQueue(), BackoffQueue::size)
                 .description(
                         "requests that wait for the end of a backoff because an endpoint is expected to take them in time")
                 .register(metrics);
-        Gauge.builder("radishpass.requests.quarantined", tools.quarantine(), Quarantine::held)
+        Gauge.builder("radishpass.requests.quarantined", context.quarantine(), Quarantine::held)
                 .description("different requests that are refused because endpoints end when they run them")
                 .register(metrics);
     }
@@ -117,8 +120,8 @@
     /**
      * Starts to serve the callers of a socket.
      *
-     * @param socket the socket
-     * @return the channel that accepts them, once it does
+     * @param socket the listening socket
+     * @return the channel that accepts connections, once it is registered
      */
     public CompletableFuture<Channel> serve(CallerSocket socket) {
         CompletableFuture<Channel> serving = new CompletableFuture<>();
@@ -133,7 +136,7 @@
                         channel.pipeline()
                                 .addLast(new HttpServerCodec(
                                         MAX_INITIAL_LINE, views.get().limits().maxHeaderBytes(), MAX_CHUNK))
-                                .addLast(new CallerConnection(tools));
+                                .addLast(new CallerConnection(context));
                     }
                 })
                 .register()
@@ -145,34 +148,34 @@
                         serving.completeExceptionally(registered.cause());
                     }
                 });
-        tools.every(LOOK_MILLIS, tools.watch()::look);
-        tools.every(TIDY_MILLIS, this::tidy);
+        context.scheduleRepeatedly(PROBE_INTERVAL_MILLIS, context.prober()::probeDue);
+        context.scheduleRepeatedly(CLEANUP_INTERVAL_MILLIS, this::cleanUp);
         return serving;
     }
 
     /**
-     * Takes over what all routers may send again.
+     * Sets the allowance for retries, which all routers share.
      *
      * @param allowance the allowance
      */
     public void retryAllowance(RetryAllowance allowance) {
-        loop.execute(() -> budget.allowance(allowance));
+        loop.execute(() -> retryBudget.allowance(allowance));
     }
 
     /**
-     * Takes over what all routers may send to endpoints that have just started.
+     * Sets the allowance for requests to cold endpoints, which all routers share.
      *
      * @param allowance the allowance
      * @since 0.6.0
      */
     public void coldStartAllowance(ColdStartAllowance allowance) {
-        loop.execute(() -> tools.coldGuard().shares().allowance(allowance));
+        loop.execute(() -> context.coldGuard().shares().allowance(allowance));
     }
 
     /**
-     * Takes over for how long an endpoint that rejects requests is sent nothing at most, however much longer its Retry-After is.
+     * Sets the maximum backoff, which limits the Retry-After time of an endpoint that rejects requests.
      *
-     * @param millis the time, in milliseconds
+     * @param millis the maximum backoff, in milliseconds
      * @since 0.6.0
      */
     public void longestBackoffMillis(long millis) {
@@ -182,123 +185,127 @@
     @Override
     public void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing) {
         loop.execute(() -> {
-            book.peerTold(peerId, scope, work, clock.millis());
+            inFlight.peerTold(peerId, scope, work, clock.millis());
             health.saidToFail(failing, scope, clock.millis());
         });
     }
 
     @Override
-    public void workReport(List<String> members, boolean always, Consumer<WorkReport> taker) {
+    public void workReport(List<String> members, boolean always, Consumer<WorkReport> consumer) {
         loop.execute(() -> {
-            boolean changed = !book.takeChanges().isEmpty();
+            boolean changed = !inFlight.takeChanges().isEmpty();
             if (changed || always || !members.isEmpty()) {
-                taker.accept(report(members));
+                consumer.accept(report(members));
             }
         });
     }
 
     @Override
-    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> news) {
+    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
         loop.execute(() -> {
-            SuspectReport unknown = tools.quarantine().told(report, origin, clock.millis());
+            SuspectReport unknown = context.quarantine().told(report, origin, clock.millis());
             if (!unknown.isEmpty()) {
-                news.accept(unknown);
+                newSuspects.accept(unknown);
             }
         });
     }
 
     @Override
     public void suspectsRestored(List<Suspect> suspects) {
-        loop.execute(() -> tools.quarantine().restored(suspects, clock.millis()));
+        loop.execute(() -> context.quarantine().restored(suspects, clock.millis()));
     }
 
     @Override
-    public void suspects(Consumer<SuspectReport> taker) {
-        loop.execute(() -> taker.accept(tools.quarantine().all(clock.millis())));
+    public void suspects(Consumer<SuspectReport> consumer) {
+        loop.execute(() -> consumer.accept(context.quarantine().all(clock.millis())));
     }
 
     @Override
     public void onSuspects(SuspectListener listener) {
-        loop.execute(() -> tools.quarantine().onNews(listener));
+        loop.execute(() -> context.quarantine().onNews(listener));
     }
 
     private WorkReport report(List<String> members) {
         Map<String, Map<String, InFlight>> withoutMember = new LinkedHashMap<>();
-        members.forEach(id -> withoutMember.put(id, book.workWithout(id)));
+        members.forEach(id -> withoutMember.put(id, inFlight.workWithout(id)));
         long nowMillis = clock.millis();
         return new WorkReport(
-                book.ownWork(),
-                book.groupWork(),
+                inFlight.ownWork(),
+                inFlight.groupWork(),
                 withoutMember,
                 health.failingInGroup(nowMillis),
                 health.failing(nowMillis));
     }
 
-    /** From now on answers end their connections, and idle ones are closed after a while by {@link #closeIdle}. */
+    /**
+     * Closes each connection after its next response from now on. Idle connections are closed later by {@link
+     * #closeIdle}.
+     */
     public void stopping() {
-        loop.execute(tools::stop);
+        loop.execute(context::markStopping);
     }
 
-    /** From now on requests that could take long are refused, and connections without a request are closed. */
+    /** Refuses requests that could take long from now on, and closes the connections without a request. */
     public void refuseNew() {
         loop.execute(() -> {
-            tools.refuseNew();
+            context.refuseNew();
             closeIdle();
         });
     }
 
     /**
-     * Ends it if nothing is in progress: from then on no request is passed on, also one whose last byte comes while the process ends, which
-     * may take half a second where processor time is scarce.
+     * Stops the server if no request is in progress. From then on no request is forwarded, even if its last byte
+     * arrives before the process has ended, which may take half a second under a shortage of processor time.
      *
-     * @param anyway whether it ends although requests are in progress
-     * @param whenEnded called on the traffic thread when it has ended, with the number of requests in progress
+     * @param force whether to stop even if requests are in progress
+     * @param whenStopped called on the traffic event loop when the server has stopped, with the number of requests in
+     *     progress
      */
-    public void endIfIdle(boolean anyway, IntConsumer whenEnded) {
+    public void endIfIdle(boolean force, IntConsumer whenStopped) {
         loop.execute(() -> {
-            int active = tools.exchanges().size();
-            if (active > 0 && !anyway) {
+            int active = context.exchanges().size();
+            if (active > 0 && !force) {
                 return;
             }
-            tools.end();
-            tools.held().releaseAll();
+            context.markStopped();
+            context.heldArrivals().releaseAll();
             for (Channel channel : listening) {
                 var unused = channel.close();
             }
             closeIdle();
-            whenEnded.accept(active);
+            whenStopped.accept(active);
         });
     }
 
     private void closeIdle() {
-        for (CallerConnection caller : new ArrayList<>(tools.callers())) {
+        for (CallerConnection caller : new ArrayList<>(context.callers())) {
             if (caller.idle()) {
                 caller.close();
             }
         }
     }
 
-    private void tidy() {
+    private void cleanUp() {
         RoutingView view = views.get();
         long nowMillis = clock.millis();
-        book.forgetSilentPeers(nowMillis);
-        connections.tidy(view.directory());
+        inFlight.forgetSilentPeers(nowMillis);
+        connections.closeUnusable(view.directory());
         health.retain(view.directory());
         signals.retain(view.directory());
-        tools.ends().tidy(nowMillis);
-        tools.quarantine().tidy(nowMillis);
-        tools.coldGuard().shares().tidy(nowMillis);
-        if (tools.refusing()) {
+        context.exitDetector().removeExpired(nowMillis);
+        context.quarantine().tidy(nowMillis);
+        context.coldGuard().shares().tidy(nowMillis);
+        if (context.refusingNew()) {
             closeIdle();
             return;
         }
         long idleMillis = view.limits().idleTimeoutMillis();
         long headMillis = view.limits().headerTimeoutMillis();
-        for (CallerConnection caller : new ArrayList<>(tools.callers())) {
-            long quietMillis = nowMillis - caller.quietSinceMillis();
-            boolean idleTooLong = caller.idle() && quietMillis > idleMillis;
-            boolean tooSlow = caller.receiving() && quietMillis > idleMillis + headMillis;
-            if (idleTooLong || tooSlow) {
+        for (CallerConnection caller : new ArrayList<>(context.callers())) {
+            long inactiveMillis = nowMillis - caller.inactiveSinceMillis();
+            boolean idleTimeout = caller.idle() && inactiveMillis > idleMillis;
+            boolean headTimeout = caller.receiving() && inactiveMillis > idleMillis + headMillis;
+            if (idleTimeout || headTimeout) {
                 caller.close();
             }
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Callers' and endpoints' connections, and the life of a request between them.
+ * Connections with callers and endpoints, and the handling of requests between them.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ArrivalQueueTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ArrivalQueueTest.java
@@ -8,74 +8,77 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks in which order requests begin that have come while nobody served. */
+/** Checks the order in which requests start that arrived while the event loop was busy. */
 final class ArrivalQueueTest {
     private long nowMillis;
-    private final Deque<Runnable> passes = new ArrayDeque<>();
-    private final ArrivalQueue queue = new ArrivalQueue(passes::add, () -> nowMillis);
-    private final List<Integer> begun = new ArrayList<>();
+    private final Deque<Runnable> iterations = new ArrayDeque<>();
+    private final ArrivalQueue queue = new ArrivalQueue(iterations::add, () -> nowMillis);
+    private final List<Integer> started = new ArrayList<>();
 
     @Test
-    void aRequestBeginsAtOnceWhileTheThreadKeepsUp() {
+    void startsARequestImmediatelyWhileTheEventLoopKeepsUp() {
         for (int request = 0; request < 100; request++) {
             arrive(request);
-            assertThat(begun).hasSize(request + 1);
-            runPasses();
+            assertThat(started).hasSize(request + 1);
+            runIterations();
         }
     }
 
     @Test
-    void ofABacklogTheNewestBegin() {
+    void startsTheNewestRequestsOfABacklogFirst() {
         arriveAll(0, 50);
-        assertThat(begun).hasSize(ArrivalQueue.MOST_IN_PASS);
-        begun.clear();
-        passes.remove().run();
-        assertThat(begun).containsExactly(49, 48, 47, 46, 45, 44, 43, 42).inOrder();
+        assertThat(started).hasSize(ArrivalQueue.MAX_STARTS_PER_ITERATION);
+        started.clear();
+        iterations.remove().run();
+        assertThat(started).containsExactly(49, 48, 47, 46, 45, 44, 43, 42).inOrder();
     }
 
     @Test
-    void whatComesDuringABacklogGoesBeforeIt() {
+    void startsANewRequestBeforeTheBacklog() {
         arriveAll(0, 20);
         arrive(99);
-        begun.clear();
-        passes.remove().run();
-        assertThat(begun.get(0)).isEqualTo(99);
+        started.clear();
+        iterations.remove().run();
+        assertThat(started.get(0)).isEqualTo(99);
     }
 
     @Test
-    void allBeginInTheEnd() {
+    void startsEveryRequestExactlyOnce() {
         arriveAll(0, 50);
-        runPasses();
-        assertThat(begun).hasSize(50);
-        assertThat(begun).containsNoDuplicates();
+        runIterations();
+        assertThat(started).hasSize(50);
+        assertThat(started).containsNoDuplicates();
     }
 
     @Test
-    void callersThatLeftTakeNobodysTurn() {
-        arriveAll(0, ArrivalQueue.MOST_IN_PASS);
+    void requestsOfDisconnectedCallersDoNotCountAgainstTheBound() {
+        arriveAll(0, ArrivalQueue.MAX_STARTS_PER_ITERATION);
         arrive(100);
-        for (int left = 0; left < 30; left++) {
+        for (int disconnected = 0; disconnected < 30; disconnected++) {
             queue.add(() -> false);
         }
-        passes.remove().run();
-        assertThat(begun).contains(100);
+        iterations.remove().run();
+        assertThat(started).contains(100);
     }
 
-    /** The pattern: a start on an eighth of a core, with callers that wait and a configuration on its way over the same thread. */
+    /**
+     * Guards against a slow loading of the configuration after a start on an eighth of a core, when waiting callers and
+     * the configuration share one event loop.
+     */
     @Test
-    void whereRequestsTakeLongFewerBeginInAPass() {
+    void startsFewerRequestsPerIterationWhenEachTakesLong() {
         for (int request = 0; request < 10; request++) {
             int number = request;
             queue.add(() -> {
-                begun.add(number);
+                started.add(number);
                 nowMillis += 60;
                 return true;
             });
         }
-        assertThat(begun).hasSize(1);
-        for (int pass = 2; pass <= 10; pass++) {
-            passes.remove().run();
-            assertThat(begun).hasSize(pass);
+        assertThat(started).hasSize(1);
+        for (int iteration = 2; iteration <= 10; iteration++) {
+            iterations.remove().run();
+            assertThat(started).hasSize(iteration);
         }
     }
 
@@ -87,14 +90,14 @@
 
     private void arrive(int request) {
         queue.add(() -> {
-            begun.add(request);
+            started.add(request);
             return true;
         });
     }
 
-    private void runPasses() {
-        while (!passes.isEmpty()) {
-            passes.remove().run();
+    private void runIterations() {
+        while (!iterations.isEmpty()) {
+            iterations.remove().run();
         }
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/BackoffQueueTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/BackoffQueueTest.java
@@ -9,70 +9,70 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Checks in which order requests come out of the queue, and that none stays longer than it may. */
+/** Checks the order in which requests leave the queue, and that no request waits past its latest send time. */
 final class BackoffQueueTest {
     private final AtomicLong clock = new AtomicLong();
-    private final Deque<Runnable> looks = new ArrayDeque<>();
-    private final BackoffQueue queue = new BackoffQueue(clock::get, looks::add);
+    private final Deque<Runnable> scheduledChecks = new ArrayDeque<>();
+    private final BackoffQueue queue = new BackoffQueue(clock::get, scheduledChecks::add);
     private final List<String> events = new ArrayList<>();
-    private int room;
+    private int freeSlots;
 
     @Test
-    void theMostUrgentGoesFirstThenTheOneThatCameFirst() {
+    void sendsByUrgencyAndThenInOrderOfArrival() {
         queue.add(new Request("a", 5, 100));
         queue.add(new Request("b", 2, 100));
         queue.add(new Request("c", 5, 100));
         queue.add(new Request("d", 2, 100));
-        room = 3;
-        look();
+        freeSlots = 3;
+        runCheck();
         assertThat(events).containsExactly("b sent", "d sent", "a sent").inOrder();
         assertThat(queue.size()).isEqualTo(1);
     }
 
     @Test
-    void oneThatCannotBeAnsweredInTimeAnyMoreIsRefused() {
+    void refusesARequestThatCanNoLongerBeAnsweredInTime() {
         queue.add(new Request("a", 5, 100));
         queue.add(new Request("b", 5, 50));
         clock.set(51);
-        look();
+        runCheck();
         assertThat(events).containsExactly("b refused");
         clock.set(101);
-        look();
+        runCheck();
         assertThat(events).containsExactly("b refused", "a refused");
-        assertThat(looks).isEmpty();
+        assertThat(scheduledChecks).isEmpty();
     }
 
     @Test
-    void oneThatIsLessUrgentDoesNotOvertake() {
+    void aLessUrgentRequestDoesNotOvertake() {
         queue.add(new Request("a", 2, 100));
-        assertThat(queue.holdsBefore("s", 5)).isTrue();
-        assertThat(queue.holdsBefore("s", 2)).isTrue();
-        assertThat(queue.holdsBefore("s", 1)).isFalse();
-        assertThat(queue.holdsBefore("other", 5)).isFalse();
+        assertThat(queue.hasWaitingAtLeastAsUrgent("s", 5)).isTrue();
+        assertThat(queue.hasWaitingAtLeastAsUrgent("s", 2)).isTrue();
+        assertThat(queue.hasWaitingAtLeastAsUrgent("s", 1)).isFalse();
+        assertThat(queue.hasWaitingAtLeastAsUrgent("other", 5)).isFalse();
     }
 
     @Test
-    void beyondItsBoundNothingWaits() {
-        for (int request = 0; request < BackoffQueue.MOST_WAITING; request++) {
+    void rejectsRequestsWhenFull() {
+        for (int request = 0; request < BackoffQueue.MAX_WAITING; request++) {
             assertThat(queue.add(new Request("r" + request, 5, 100))).isTrue();
         }
         assertThat(queue.add(new Request("one more", 0, 100))).isFalse();
     }
 
-    private void look() {
-        looks.remove().run();
+    private void runCheck() {
+        scheduledChecks.remove().run();
     }
 
-    /** A request that is sent while there is room. */
-    private final class Request implements BackoffQueue.Waiting {
+    /** A request that is sent while there are free slots. */
+    private final class Request implements BackoffQueue.WaitingRequest {
         private final String name;
         private final int urgency;
-        private final long startByMillis;
+        private final long latestSendMillis;
 
-        private Request(String name, int urgency, long startByMillis) {
+        private Request(String name, int urgency, long latestSendMillis) {
             this.name = name;
             this.urgency = urgency;
-            this.startByMillis = startByMillis;
+            this.latestSendMillis = latestSendMillis;
         }
 
         @Override
@@ -86,22 +86,22 @@
         }
 
         @Override
-        public long startByMillis() {
-            return startByMillis;
+        public long latestSendMillis() {
+            return latestSendMillis;
         }
 
         @Override
-        public boolean start() {
-            if (room == 0) {
+        public boolean trySend() {
+            if (freeSlots == 0) {
                 return false;
             }
-            room--;
+            freeSlots--;
             events.add(name + " sent");
             return true;
         }
 
         @Override
-        public void giveUp() {
+        public void expire() {
             events.add(name + " refused");
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ConnectionReuseTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ConnectionReuseTest.java
@@ -14,9 +14,9 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks which idle connections to endpoints are used again. */
+/** Checks which idle connections to endpoints are reused. */
 final class ConnectionReuseTest {
-    private static final long LONG = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     private final TrafficBed bed;
 
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void aConnectionThatWasJustUsedIsUsedAgain() throws Exception {
+    void reusesAConnectionThatWasJustUsed() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "1", "x").readUntil("ok");
             caller.request("POST", "/once/", "2", "x").readUntil("ok");
             assertThat(endpoint.next().firstOnConnection()).isTrue();
@@ -41,23 +41,23 @@
     }
 
     @Test
-    void whatCannotBeRepeatedNeverGoesOutOnAConnectionThatMayHaveBeenDropped() throws Exception {
-        CountDownLatch later = new CountDownLatch(1);
+    void sendsANonRetryableRequestOnANewConnectionIfTheIdleOneMayHaveBeenDropped() throws Exception {
+        CountDownLatch sendSecondEvent = new CountDownLatch(1);
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
                     if (request.line().contains("/stream/")) {
                         write(out, streamHead(request) + chunk(event(1)));
-                        awaitQuietly(later);
+                        awaitQuietly(sendSecondEvent);
                         write(out, chunk(event(2)));
                     } else {
                         write(out, whole(request, 200, "ok"));
                     }
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller();
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller();
                 TestCaller listener = bed.caller()) {
             listener.request("POST", "/stream/", "1", "x").readUntil("event 1");
             caller.request("POST", "/once/", "2", "x").readUntil("ok");
             bed.skip(400);
-            later.countDown();
+            sendSecondEvent.countDown();
             listener.readUntil("event 2");
             caller.request("POST", "/once/", "3", "x").readUntil("ok");
             endpoint.next();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/CallersThatLeftTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/DisconnectedCallersTest.java
@@ -15,19 +15,20 @@
 import org.radishpass.routing.testing.TrafficBed;
 
 /**
- * After a loss of power of all routers 146 requests were sent on although their callers had left, one of them 2.5 s after its deadline.
- * Requests and closes had been waiting in the sockets of routers that got the processor late; each pass of the traffic thread sent what
- * it had read before it came to the closes. Logs of one router showed 41 of 73 requests sent so.
+ * Guards against forwarding requests of callers that have disconnected. After a power failure of all routers, 146 such
+ * requests were forwarded, one of them 2.5 s after its deadline; in the log of one router they were 41 of 73 forwarded
+ * requests. Requests and closes had been waiting in the sockets of routers that received processor time late, and each
+ * iteration of the event loop forwarded the requests it had read before it processed the closes.
  */
-final class CallersThatLeftTest {
+final class DisconnectedCallersTest {
     private static final long TIMEOUT_MILLIS = 20_000;
 
-    /** Several times what begins in one pass of the traffic thread. */
-    private static final int CALLERS = 4 * ArrivalQueue.MOST_IN_PASS;
+    /** Several times the number of requests that start in one iteration of the event loop. */
+    private static final int CALLERS = 4 * ArrivalQueue.MAX_STARTS_PER_ITERATION;
 
     private final TrafficBed bed;
 
-    CallersThatLeftTest() throws Exception {
+    DisconnectedCallersTest() throws Exception {
         bed = new TrafficBed();
     }
 
@@ -38,15 +39,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x"})
-    void nothingIsSentForCallersThatLeftWhileTheThreadStoodStill(String path) throws Exception {
+    void requestsOfCallersThatDisconnectedDuringAPauseAreNotForwarded(String path) throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller stays = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
-            answered(stays, path, "warm");
+                TestCaller connectedCaller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+            assertAnswered(connectedCaller, path, "warm");
             endpoint.next();
             try (TrafficBed.Standstill standstill = bed.standStill()) {
-                callersComeAndLeave(path);
+                connectAndDisconnectCallers(path);
             }
-            answered(stays, path, "stays");
+            assertAnswered(connectedCaller, path, "stays");
             assertThat(endpoint.next().header("X-Id")).isEqualTo("stays");
             assertThat(endpoint.unseen()).isEqualTo(0);
         }
@@ -54,31 +55,32 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x"})
-    void nothingIsSentForCallersThatLeaveWhileTheirConnectionsAreMade(String path) throws Exception {
+    void requestsOfCallersThatDisconnectWhileAnEndpointConnectionIsEstablishedAreNotForwarded(String path)
+            throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller stays = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
-            List<TestCaller> leaving = new ArrayList<>();
+                TestCaller connectedCaller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+            List<TestCaller> disconnecting = new ArrayList<>();
             for (int caller = 0; caller < CALLERS; caller++) {
-                leaving.add(bed.caller());
+                disconnecting.add(bed.caller());
             }
             try (TrafficBed.Standstill standstill = bed.standStill()) {
-                for (TestCaller caller : leaving) {
+                for (TestCaller caller : disconnecting) {
                     caller.request("GET", path, "leaves", "").close();
                 }
             }
-            answered(stays, path, "stays");
+            assertAnswered(connectedCaller, path, "stays");
             assertThat(endpoint.next().header("X-Id")).isEqualTo("stays");
             assertThat(endpoint.unseen()).isEqualTo(0);
         }
     }
 
-    private void callersComeAndLeave(String path) throws IOException {
+    private void connectAndDisconnectCallers(String path) throws IOException {
         for (int caller = 0; caller < CALLERS; caller++) {
             bed.caller().request("GET", path, "leaves", "").close();
         }
     }
 
-    private static void answered(TestCaller caller, String path, String id) throws IOException {
+    private static void assertAnswered(TestCaller caller, String path, String id) throws IOException {
         String head = caller.request("GET", path, id, "").readUntil("\r\n\r\n");
         caller.readBody(head);
         assertThat(head).startsWith("HTTP/1.1 200");
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/TrafficFailureTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFailureTest.java
@@ -14,13 +14,16 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks what callers and endpoints see when endpoints fail in every way that bytes allow. */
-final class TrafficFailureTest {
-    private static final long LONG = 20_000;
+/**
+ * Checks what callers and endpoints receive when endpoints fail, for every kind of failure that is visible in the
+ * bytes.
+ */
+final class EndpointFailureTest {
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     private final TrafficBed bed;
 
-    TrafficFailureTest() throws Exception {
+    EndpointFailureTest() throws Exception {
         bed = new TrafficBed();
     }
 
@@ -30,9 +33,9 @@
     }
 
     @Test
-    void aRequestIsForwardedUnchangedAndItsAnswerToo() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "hello")));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             String head = String.join(
                     "\r\n",
                     "POST /once/x?q=1 HTTP/1.1",
@@ -42,7 +45,7 @@
                     "X-Other: kept",
                     "Transfer-Encoding: chunked");
             caller.send(head + "\r\n\r\n" + chunk("abc") + end());
-            String answer = caller.readUntil("hello");
+            String response = caller.readUntil("hello");
             FakeEndpoint.Seen seen = endpoint.next();
 
             assertThat(seen.line()).isEqualTo("POST /once/x?q=1 HTTP/1.1");
@@ -51,35 +54,36 @@
             assertThat(seen.header("X-Other")).isEqualTo("kept");
             assertThat(seen.header(PlainDialect.WORKSPACE)).isEmpty();
             assertThat(seen.header(PlainDialect.ENDPOINT)).isEqualTo("a");
-            assertThat(answer).startsWith("HTTP/1.1 200");
+            assertThat(response).startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
-    void aRouterThatKnowsNothingSaysThatTheRequestHasNotRun() throws Exception {
+    void aRouterWithoutConfigurationRefusesRequestsAsNotExecuted() throws Exception {
         try (TestCaller caller = bed.caller()) {
-            String answer = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
-            assertThat(answer).startsWith("HTTP/1.1 503");
-            assertThat(answer.toLowerCase(java.util.Locale.ROOT)).contains("retry-after");
+            String response = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
+            assertThat(response).startsWith("HTTP/1.1 503");
+            assertThat(response.toLowerCase(java.util.Locale.ROOT)).contains("retry-after");
         }
     }
 
     @Test
-    void whatMayHaveRunIsNeverSentAgainNorCalledNotRun() throws Exception {
+    void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotExecuted() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> request.reset());
                 FakeEndpoint other = new FakeEndpoint("b", (request, out) -> request.reset());
-                TestCaller caller = bed.knows(LONG, endpoint, other).caller()) {
-            String answer = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
-            assertThat(answer).startsWith("HTTP/1.1 502");
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint, other).caller()) {
+            String response = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
+            assertThat(response).startsWith("HTTP/1.1 502");
             assertThat(endpoint.unseen() + other.unseen()).isEqualTo(1);
         }
     }
 
     @Test
-    void whatAnEndpointProvablyDidNotRunIsTriedElsewhere() throws Exception {
-        try (FakeEndpoint full = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
-                FakeEndpoint free = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(LONG, full, free).caller()) {
+    void aRequestThatWasProvablyNotExecutedIsRetriedElsewhere() throws Exception {
+        try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
+                FakeEndpoint healthy = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
+                TestCaller caller =
+                        bed.knows(TIMEOUT_MILLIS, rejecting, healthy).caller()) {
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("POST", "/once/", "r" + request, "x").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -88,19 +92,20 @@
     }
 
     @Test
-    void whenEveryEndpointRefusesTheRefusalSaysSo() throws Exception {
-        try (FakeEndpoint full = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
-                TestCaller caller = bed.knows(LONG, full).caller()) {
+    void aRequestThatEveryEndpointRejectsIsRefusedAsNotExecuted() throws Exception {
+        try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n"))
                     .startsWith("HTTP/1.1 503");
         }
     }
 
     @Test
-    void aRefusalAfterAnAttemptThatMayHaveRunPromisesNothing() throws Exception {
+    void aRefusalAfterAnAttemptThatMayHaveRunDoesNotClaimNotExecuted() throws Exception {
         try (FakeEndpoint resetting = new FakeEndpoint("a", (request, out) -> request.reset());
-                FakeEndpoint full = new FakeEndpoint("b", (request, out) -> write(out, notRun(request)));
-                TestCaller caller = bed.knows(LONG, resetting, full).caller()) {
+                FakeEndpoint rejecting = new FakeEndpoint("b", (request, out) -> write(out, notRun(request)));
+                TestCaller caller =
+                        bed.knows(TIMEOUT_MILLIS, resetting, rejecting).caller()) {
             for (int request = 0; request < 8; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("}"))
                         .startsWith("HTTP/1.1 502");
@@ -109,11 +114,11 @@
     }
 
     @Test
-    void anEndpointThatRefusesConnectionsIsPassedOver() throws Exception {
-        FakeEndpoint gone = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
-        try (FakeEndpoint free = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(LONG, gone, free).caller()) {
-            gone.close();
+    void skipsAnEndpointThatRefusesConnections() throws Exception {
+        FakeEndpoint exited = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
+        try (FakeEndpoint healthy = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, exited, healthy).caller()) {
+            exited.close();
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("POST", "/once/", "r" + request, "x").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -122,14 +127,16 @@
     }
 
     @Test
-    void anIdempotentRequestIsTriedAgainAfterAnErrorOrABreak() throws Exception {
-        try (FakeEndpoint bad = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 500, "bad")));
-                FakeEndpoint cut = new FakeEndpoint("b", (request, out) -> {
+    void retriesAnIdempotentRequestAfterAnErrorOrAFailedResponse() throws Exception {
+        try (FakeEndpoint erroneous = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 500, "bad")));
+                FakeEndpoint truncating = new FakeEndpoint("b", (request, out) -> {
                     write(out, whole(request, 200, "ok").replace("Length: 2", "Length: 9"));
                     request.reset();
                 });
-                FakeEndpoint good = new FakeEndpoint("c", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(LONG, bad, cut, good).caller()) {
+                FakeEndpoint succeeding =
+                        new FakeEndpoint("c", (request, out) -> write(out, whole(request, 200, "ok")));
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, erroneous, truncating, succeeding)
+                        .caller()) {
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -138,104 +145,104 @@
     }
 
     @Test
-    void anAnswerToAnotherRequestIsSkipped() throws Exception {
+    void skipsAResponseToAnotherRequest() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: stranger\r\nContent-Length: 5\r\n\r\nwrong");
                     write(out, whole(request, 200, "right"));
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
-            String answer = caller.request("POST", "/once/", "7", "x").readUntil("right");
-            assertThat(answer).doesNotContain("wrong");
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+            String response = caller.request("POST", "/once/", "7", "x").readUntil("right");
+            assertThat(response).doesNotContain("wrong");
         }
     }
 
     @Test
-    void bytesThatFollowACompleteAnswerReachNobody() throws Exception {
+    void discardsBytesAfterACompleteResponse() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint(
                         "a",
                         (request, out) -> write(out, whole(request, 200, "right") + whole(request, 200, "extra")));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             for (int request = 0; request < 5; request++) {
-                String answer =
+                String response =
                         caller.request("POST", "/once/", "r" + request, "x").readUntil("right");
-                assertThat(answer).doesNotContain("extra");
-                assertThat(answer).contains("X-Id: r" + request);
+                assertThat(response).doesNotContain("extra");
+                assertThat(response).contains("X-Id: r" + request);
             }
         }
     }
 
     @Test
-    void bytesThatAreNoAnswerAreNotPassedOn() throws Exception {
+    void doesNotRelayMalformedResponses() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, "\u0001garbage\r\n\r\n"));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
-            String answer = caller.request("POST", "/once/", "7", "x").readUntil("}");
-            assertThat(answer).startsWith("HTTP/1.1 502");
-            assertThat(answer).doesNotContain("garbage");
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+            String response = caller.request("POST", "/once/", "7", "x").readUntil("}");
+            assertThat(response).startsWith("HTTP/1.1 502");
+            assertThat(response).doesNotContain("garbage");
         }
     }
 
     @Test
-    void aSuccessWithoutTheEndpointsSignatureIsNotPassedOn() throws Exception {
+    void doesNotRelayASuccessWithoutTheSignatureOfTheEndpoint() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint(
                         "a",
                         (request, out) -> write(
                                 out,
                                 whole(request, 200, "").replace("Content-Length", "X-Unsigned: 1\r\nContent-Length")));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/stream/", "7", "x").readUntil("}"))
                     .startsWith("HTTP/1.1 502");
         }
     }
 
     @Test
-    void anAnswerThatIsCutNeverLooksComplete() throws Exception {
+    void aTruncatedResponseNeverAppearsComplete() throws Exception {
         String longBody = "x".repeat(100_000);
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 200000\r\n\r\n" + longBody);
                     request.reset();
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
-            String answer = caller.request("POST", "/once/", "7", "x").readAll();
-            assertThat(answer.length()).isLessThan(150_000);
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+            String response = caller.request("POST", "/once/", "7", "x").readAll();
+            assertThat(response.length()).isLessThan(150_000);
         }
     }
 
     @Test
-    void anAnswerWithoutLengthThatIsResetIsNotComplete() throws Exception {
+    void aResponseWithoutLengthIsIncompleteAfterAReset() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nsome");
                     request.reset();
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("}"))
                     .startsWith("HTTP/1.1 502");
         }
     }
 
     @Test
-    void anAnswerWithoutLengthThatEndsIsComplete() throws Exception {
+    void aResponseWithoutLengthIsCompleteAfterAnOrderlyClose() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nsome");
                     out.close();
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("0\r\n\r\n"))
                     .contains("some");
         }
     }
 
     @Test
-    void whatFailedIsTriedAgainOnANewConnection() throws Exception {
-        try (FakeEndpoint breaking = new FakeEndpoint("a", (request, out) -> request.reset());
-                FakeEndpoint forgetful = new FakeEndpoint("b", (request, out) -> {
+    void retriesOnANewConnection() throws Exception {
+        try (FakeEndpoint resetting = new FakeEndpoint("a", (request, out) -> request.reset());
+                FakeEndpoint singleRequest = new FakeEndpoint("b", (request, out) -> {
                     if (!request.firstOnConnection()) {
                         request.reset();
                     }
                     write(out, whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.knows(LONG, forgetful).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, singleRequest).caller()) {
             caller.request("GET", "/again/", "first", "").readUntil("ok");
-            bed.knows(LONG, breaking, forgetful);
+            bed.knows(TIMEOUT_MILLIS, resetting, singleRequest);
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -244,7 +251,7 @@
     }
 
     @Test
-    void aRequestThatHasWaitedItsTimeGetsAFinalAnswerThatPromisesNothing() throws Exception {
+    void aTimedOutRequestIsAnsweredWithoutClaimingNotExecuted() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> out.flush());
                 TestCaller caller = bed.knows(300, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("}"))
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
@@ -32,7 +32,10 @@
 import org.radishpass.routing.fleet.RegionMap;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** Checks that only endpoints are let through that the operator allows and that have not stated that they are leaving. */
+/**
+ * Checks that the filter selects only endpoints that the configuration allows and that have not stated that they are
+ * leaving.
+ */
 final class EndpointFilterTest {
     private static final List<Region> REGIONS = List.of(new Region("north"), new Region("south"), new Region("west"));
     private static final int DATA_CENTRES = 6;
@@ -40,15 +43,15 @@
     private final MeterRegistry metrics = new SimpleMeterRegistry();
 
     @Property(tries = 2_000, seed = "71")
-    void onlyEndpointsThatMayRunTheRequestAreLetThrough(@ForAll long seed) {
+    void selectsExactlyTheEndpointsThatMayExecuteTheRequest(@ForAll long seed) {
         Random random = new Random(seed);
-        Map<DataCentre, Region> placed = new HashMap<>();
+        Map<DataCentre, Region> regionOf = new HashMap<>();
         Set<DataCentre> drained = new HashSet<>();
         List<ServiceEndpoint> endpoints = new ArrayList<>();
         for (int number = 0; number < DATA_CENTRES; number++) {
             DataCentre dataCentre = new DataCentre("dc-" + number);
-            if (random.nextInt(5) > 0) { // some data centres stand nobody knows where
-                placed.put(dataCentre, REGIONS.get(random.nextInt(REGIONS.size())));
+            if (random.nextInt(5) > 0) { // the region of some data centres is unknown
+                regionOf.put(dataCentre, REGIONS.get(random.nextInt(REGIONS.size())));
             }
             if (random.nextInt(4) == 0) {
                 drained.add(dataCentre);
@@ -57,28 +60,28 @@
                 endpoints.add(endpoint(dataCentre, endpoint, random.nextInt(4) == 0));
             }
         }
-        Set<Region> byRoute = some(random);
-        Set<Region> byWorkspace = some(random);
+        Set<Region> byRoute = randomSubset(random);
+        Set<Region> byWorkspace = randomSubset(random);
         EndpointSignals signals = new EndpointSignals(
                 () -> 0, () -> EndpointDirectory.EMPTY, new RequestLog(metrics), EndpointListener.NONE, metrics);
-        Set<ServiceEndpoint> stated = new HashSet<>();
-        endpoints.stream().filter(endpoint -> random.nextInt(4) == 0).forEach(stated::add);
-        stated.forEach(endpoint ->
-                signals.head(endpoint, AnswerHead.builder(200).leaving(true).build()));
-        RoutingView view = view(endpoints, new EndpointEligibility(drained, Map.of(), new RegionMap(placed)));
+        Set<ServiceEndpoint> statedLeaving = new HashSet<>();
+        endpoints.stream().filter(endpoint -> random.nextInt(4) == 0).forEach(statedLeaving::add);
+        statedLeaving.forEach(endpoint -> signals.headReceived(
+                endpoint, AnswerHead.builder(200).leaving(true).build()));
+        RoutingView view = view(endpoints, new EndpointEligibility(drained, Map.of(), new RegionMap(regionOf)));
         EndpointFilter filter = new EndpointFilter(view, signals);
-        Terms terms = terms(byRoute, byWorkspace);
+        RequestTerms terms = terms(byRoute, byWorkspace);
 
         List<ServiceEndpoint> open = filter.open(terms);
         List<ServiceEndpoint> sources = filter.cacheSources(terms);
         for (ServiceEndpoint endpoint : endpoints) {
-            Optional<Region> region = Optional.ofNullable(placed.get(endpoint.dataCentre()));
+            Optional<Region> region = Optional.ofNullable(regionOf.get(endpoint.dataCentre()));
             boolean allowed = allows(byRoute, region) && allows(byWorkspace, region);
-            boolean leaving = endpoint.leaving() || stated.contains(endpoint);
+            boolean leaving = endpoint.leaving() || statedLeaving.contains(endpoint);
             boolean mayRun = allowed && !leaving && !drained.contains(endpoint.dataCentre());
-            assertThat(filter.staying("s").contains(endpoint)).isEqualTo(!leaving);
+            assertThat(filter.notLeaving("s").contains(endpoint)).isEqualTo(!leaving);
             assertThat(open.contains(endpoint)).isEqualTo(mayRun);
-            assertThat(filter.stillOpen(terms, endpoint)).isEqualTo(mayRun);
+            assertThat(filter.stillEligible(terms, endpoint)).isEqualTo(mayRun);
             assertThat(sources.contains(endpoint)).isEqualTo(allowed);
         }
     }
@@ -87,27 +90,27 @@
         return allowed.isEmpty() || region.map(allowed::contains).orElse(false);
     }
 
-    private static Set<Region> some(Random random) {
-        Set<Region> some = new HashSet<>();
+    private static Set<Region> randomSubset(Random random) {
+        Set<Region> subset = new HashSet<>();
         REGIONS.forEach(region -> {
             if (random.nextInt(3) == 0) {
-                some.add(region);
+                subset.add(region);
             }
         });
-        return some;
+        return subset;
     }
 
     private static ServiceEndpoint endpoint(DataCentre dataCentre, int number, boolean leaving) {
         return new ServiceEndpoint(dataCentre + "-" + number, "s", new Address("10.0.0.9", 80), dataCentre, 6, leaving);
     }
 
-    private static Terms terms(Set<Region> byRoute, Set<Region> byWorkspace) {
+    private static RequestTerms terms(Set<Region> byRoute, Set<Region> byWorkspace) {
         Route route = Route.builder("r")
                 .split(TrafficSplit.all("s"))
                 .allowedRegions(byRoute)
                 .build();
         RequestHead head = new RequestHead("id", "h", "/", OptionalLong.empty(), null, null, null);
-        return Terms.of(
+        return RequestTerms.of(
                 head,
                 route,
                 Optional.of(new Workspace("w", OptionalInt.empty(), byWorkspace)),
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StatedInAnswersTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointSignalsTest.java
@@ -17,8 +17,8 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks on loopback what reaches an endpoint after one of its answers has stated that it wants nothing. */
-final class StatedInAnswersTest {
+/** Checks over loopback which requests reach an endpoint after it stated in a response that it accepts none. */
+final class EndpointSignalsTest {
     private static final long TIMEOUT_MILLIS = 20_000;
     private static final long BACKOFF_MILLIS = 60_000;
     private static final long SHORT_BACKOFF_MILLIS = 200;
@@ -26,7 +26,7 @@
 
     private final TrafficBed bed;
 
-    StatedInAnswersTest() throws Exception {
+    EndpointSignalsTest() throws Exception {
         bed = new TrafficBed();
     }
 
@@ -35,69 +35,73 @@
         bed.close();
     }
 
-    /** Guards against requests that reach an endpoint seconds after its answers stated that it is leaving. */
+    /**
+     * Guards against requests that are sent to an endpoint seconds after it stated in a response that it is leaving.
+     */
     @Test
-    void nothingMoreReachesAnEndpointWhoseAnswerStatedThatItIsLeaving() throws Exception {
-        AtomicBoolean stated = new AtomicBoolean();
-        AtomicInteger later = new AtomicInteger();
+    void sendsNothingToAnEndpointAfterItStatedThatItIsLeaving() throws Exception {
+        AtomicBoolean leavingStated = new AtomicBoolean();
+        AtomicInteger receivedAfterwards = new AtomicInteger();
         try (FakeEndpoint leaving = new FakeEndpoint("a", (request, out) -> {
-                    later.addAndGet(stated.getAndSet(true) ? 1 : 0);
-                    write(out, with(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
+                    receivedAfterwards.addAndGet(leavingStated.getAndSet(true) ? 1 : 0);
+                    write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
                 });
-                FakeEndpoint other = sound("b");
+                FakeEndpoint other = healthyEndpoint("b");
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving, other).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
-            assertThat(stated.get()).isTrue();
-            assertThat(later.get()).isEqualTo(0);
+            assertThat(leavingStated.get()).isTrue();
+            assertThat(receivedAfterwards.get()).isEqualTo(0);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
-    void whereAllAreLeavingARequestIsRefusedAtOnceAsNotRun(String path) throws Exception {
-        AtomicInteger reached = new AtomicInteger();
+    void refusesARequestAsNotExecutedIfEveryEndpointIsLeaving(String path) throws Exception {
+        AtomicInteger received = new AtomicInteger();
         try (FakeEndpoint leaving = new FakeEndpoint("a", (request, out) -> {
-                    reached.incrementAndGet();
-                    write(out, with(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
+                    received.incrementAndGet();
+                    write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
                 });
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving).caller()) {
             assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             String head = caller.request("GET", path, "r", "").readUntil("\r\n\r\n");
             assertThat(head).startsWith("HTTP/1.1 503");
             assertThat(head).contains("retry-after");
-            assertThat(reached.get()).isEqualTo(1);
+            assertThat(received.get()).isEqualTo(1);
         }
     }
 
-    /** Guards against a second attempt at an endpoint that stated that it is leaving while the first was under way. */
+    /**
+     * Guards against a retry at an endpoint that stated that it is leaving while the first attempt was in progress.
+     */
     @Test
-    void anAttemptAfterAFailureGoesToNoneThatIsLeaving() throws Exception {
-        AtomicInteger atLeaving = new AtomicInteger();
+    void doesNotRetryAtALeavingEndpoint() throws Exception {
+        AtomicInteger receivedByLeaving = new AtomicInteger();
         try (FakeEndpoint leaving = new FakeEndpoint("a", (request, out) -> {
-                    atLeaving.incrementAndGet();
-                    write(out, with(PlainDialect.LEAVING + ": 1", whole(request, 500, "")));
+                    receivedByLeaving.incrementAndGet();
+                    write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 500, "")));
                 });
                 FakeEndpoint failing = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 500, "")));
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving, failing).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 500");
             }
-            assertThat(atLeaving.get()).isEqualTo(1);
+            assertThat(receivedByLeaving.get()).isEqualTo(1);
         }
     }
 
-    /** Guards against requests that pile up at an endpoint that has rejected one with Retry-After. */
+    /** Guards against sending more requests to an endpoint that has rejected one with Retry-After. */
     @Test
-    void nothingReachesAnEndpointUntilItsRetryAfterIsOver() throws Exception {
+    void sendsNothingToAnEndpointUntilItsBackoffEnds() throws Exception {
         AtomicInteger rejected = new AtomicInteger();
-        try (FakeEndpoint full = new FakeEndpoint("a", (request, out) -> {
+        try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> {
                     rejected.incrementAndGet();
                     write(out, rejection(request, BACKOFF_MILLIS));
                 });
-                FakeEndpoint other = sound("b");
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, full, other).caller()) {
+                FakeEndpoint other = healthyEndpoint("b");
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting, other).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
@@ -107,59 +111,64 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
-    void whereAllAreInBackoffARequestIsRefusedAtOnceUntilTheFirstEnds(String path) throws Exception {
-        AtomicInteger reached = new AtomicInteger();
-        try (FakeEndpoint full = new FakeEndpoint("a", (request, out) -> {
-                    reached.incrementAndGet();
+    void refusesARequestUntilTheFirstBackoffEndsIfEveryEndpointIsInBackoff(String path) throws Exception {
+        AtomicInteger received = new AtomicInteger();
+        try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> {
+                    received.incrementAndGet();
                     write(out, rejection(request, BACKOFF_MILLIS));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, full).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
             caller.readBody(caller.request("GET", path, "r", "").readUntil("\r\n\r\n"));
             String head = caller.request("GET", path, "r", "").readUntil("\r\n\r\n");
             caller.readBody(head);
             assertThat(head).startsWith("HTTP/1.1 503");
             assertThat(retryAfterSeconds(head)).isAtLeast(BACKOFF_MILLIS / 2_000.0);
             assertThat(retryAfterSeconds(head)).isAtMost(BACKOFF_MILLIS / 1_000.0 + 1);
-            assertThat(reached.get()).isEqualTo(1);
+            assertThat(received.get()).isEqualTo(1);
 
             bed.skip(BACKOFF_MILLIS);
             caller.readBody(caller.request("GET", path, "r", "").readUntil("\r\n\r\n"));
-            assertThat(reached.get()).isEqualTo(2);
+            assertThat(received.get()).isEqualTo(2);
         }
     }
 
-    /** Guards against a caller that is refused although other endpoints take requests: a rejected send is no attempt. */
+    /**
+     * Guards against refusing a request although other endpoints accept requests. A rejected send is not an attempt.
+     */
     @Test
-    void aRejectedRequestGoesElsewhereAlsoWhereItsRouteAllowsOneAttempt() throws Exception {
-        AtomicInteger ran = new AtomicInteger();
-        try (FakeEndpoint first = full("a");
-                FakeEndpoint second = full("b");
-                FakeEndpoint third = full("c");
-                FakeEndpoint sound = new FakeEndpoint("d", (request, out) -> {
-                    ran.incrementAndGet();
+    void aRejectedSendDoesNotCountAgainstTheAttemptsOfTheRoute() throws Exception {
+        AtomicInteger executed = new AtomicInteger();
+        try (FakeEndpoint first = rejectingEndpoint("a");
+                FakeEndpoint second = rejectingEndpoint("b");
+                FakeEndpoint third = rejectingEndpoint("c");
+                FakeEndpoint healthy = new FakeEndpoint("d", (request, out) -> {
+                    executed.incrementAndGet();
                     write(out, whole(request, 200, "ok"));
                 });
                 TestCaller caller = bed.attempts(1)
-                        .knows(TIMEOUT_MILLIS, first, second, third, sound)
+                        .knows(TIMEOUT_MILLIS, first, second, third, healthy)
                         .caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
-            assertThat(ran.get()).isEqualTo(REQUESTS);
+            assertThat(executed.get()).isEqualTo(REQUESTS);
             assertThat(first.unseen() + second.unseen() + third.unseen()).isAtMost(3);
         }
     }
 
-    /** Guards against a refusal where the backoff ends early enough for an answer within the latency target. */
+    /**
+     * Guards against refusing a request although the backoff ends early enough for a response within the latency
+     * target.
+     */
     @Test
-    void aRequestWaitsForABackoffThatEndsSoon() throws Exception {
+    void aRequestWaitsForABackoffThatEndsInTime() throws Exception {
         AtomicInteger rejected = new AtomicInteger();
-        try (FakeEndpoint shortOfRoom = new FakeEndpoint("a", (request, out) -> {
+        try (FakeEndpoint overloaded = new FakeEndpoint("a", (request, out) -> {
                     boolean first = rejected.getAndIncrement() == 0;
                     write(out, first ? rejection(request, SHORT_BACKOFF_MILLIS) : whole(request, 200, "ok"));
                 });
                 TestCaller caller = bed.target(TIMEOUT_MILLIS)
-                        .knows(TIMEOUT_MILLIS, shortOfRoom)
+                        .knows(TIMEOUT_MILLIS, overloaded)
                         .caller()) {
             assertThat(status(caller)).isEqualTo("HTTP/1.1 503");
             assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
@@ -167,23 +176,23 @@
         }
     }
 
-    private static FakeEndpoint full(String id) throws IOException {
+    private static FakeEndpoint rejectingEndpoint(String id) throws IOException {
         return new FakeEndpoint(id, (request, out) -> write(out, rejection(request, BACKOFF_MILLIS)));
     }
 
     @Test
-    void aBackoffIsNoLongerThanTheLongest() throws Exception {
-        AtomicInteger reached = new AtomicInteger();
+    void limitsABackoffToTheConfiguredMaximum() throws Exception {
+        AtomicInteger received = new AtomicInteger();
         bed.server().longestBackoffMillis(1_000);
-        try (FakeEndpoint full = new FakeEndpoint("a", (request, out) -> {
-                    reached.incrementAndGet();
+        try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> {
+                    received.incrementAndGet();
                     write(out, rejection(request, 1_000_000_000_000L));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, full).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
             status(caller);
             bed.skip(1_000);
             status(caller);
-            assertThat(reached.get()).isEqualTo(2);
+            assertThat(received.get()).isEqualTo(2);
         }
     }
 
@@ -196,19 +205,19 @@
                 .orElseThrow();
     }
 
-    private static FakeEndpoint sound(String id) throws IOException {
+    private static FakeEndpoint healthyEndpoint(String id) throws IOException {
         return new FakeEndpoint(id, (request, out) -> write(out, whole(request, 200, "ok")));
     }
 
     private static String rejection(FakeEndpoint.Seen request, long backoffMillis) {
-        return with(
+        return withHeaders(
                 PlainDialect.NOT_RUN + ": 1\r\n" + PlainDialect.BACKOFF + ": " + backoffMillis,
                 whole(request, 503, ""));
     }
 
-    private static String with(String headers, String answer) {
-        int end = answer.indexOf("\r\n") + 2;
-        return answer.substring(0, end) + headers + "\r\n" + answer.substring(end);
+    private static String withHeaders(String headers, String response) {
+        int end = response.indexOf("\r\n") + 2;
+        return response.substring(0, end) + headers + "\r\n" + response.substring(end);
     }
 
     private static String status(TestCaller caller) throws IOException {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/HeldArrivalsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/HeldArrivalsTest.java
@@ -9,74 +9,78 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks what becomes of requests that come before the configuration.
+ * Checks how requests are handled that arrive before the configuration is known.
  *
- * <p>Seen: after a loss of power of all routers they refused 1,120 requests within 4 s with "no configuration or endpoint list is known
- * yet" while they read it, on an eighth of a core; callers came back each 0.3 s, and gave up.
+ * <p>Guards against refusing them: after a power failure of all routers, which read their configuration on an eighth of
+ * a core, 1,120 requests were refused within 4 s with "no configuration or endpoint list is known yet". Their callers
+ * retried every 0.3 s and then gave up.
  */
 final class HeldArrivalsTest {
     private long nowMillis = 1_000;
     private boolean arriving = true;
-    private final Deque<Runnable> looks = new ArrayDeque<>();
-    private final List<Integer> begun = new ArrayList<>();
+    private final Deque<Runnable> scheduledChecks = new ArrayDeque<>();
+    private final List<Integer> started = new ArrayList<>();
     private final HeldArrivals held = new HeldArrivals(
-            () -> nowMillis, () -> arriving, all -> all.forEach(ArrivalQueue.Arrival::begin), looks::add);
+            () -> nowMillis,
+            () -> arriving,
+            arrivals -> arrivals.forEach(ArrivalQueue.Arrival::start),
+            scheduledChecks::add);
 
     @Test
-    void theyWaitWhileTheConfigurationIsOnItsWay() {
+    void holdsRequestsWhileTheConfigurationIsBeingReceived() {
         arrive(1, Long.MAX_VALUE);
-        pass(500);
-        assertThat(begun).isEmpty();
+        advance(500);
+        assertThat(started).isEmpty();
 
         arriving = false;
-        pass(20);
-        assertThat(begun).containsExactly(1);
+        advance(20);
+        assertThat(started).containsExactly(1);
     }
 
     @Test
-    void nobodyWaitsBeyondHalfOfItsPatience() {
+    void holdsNoRequestLongerThanHalfOfTheCallerTimeout() {
         arrive(1, 1_000);
         arrive(2, 4_000);
-        pass(500);
-        assertThat(begun).containsExactly(1);
-        pass(1_500);
-        assertThat(begun).containsExactly(1, 2).inOrder();
+        advance(500);
+        assertThat(started).containsExactly(1);
+        advance(1_500);
+        assertThat(started).containsExactly(1, 2).inOrder();
     }
 
     @Test
-    void nobodyWaitsLongerThanTheBound() {
+    void holdsNoRequestLongerThanTheMaximum() {
         arrive(1, Long.MAX_VALUE);
-        pass(HeldArrivals.MOST_MILLIS - 1);
-        assertThat(begun).isEmpty();
-        pass(1);
-        assertThat(begun).containsExactly(1);
+        advance(HeldArrivals.MAX_HOLD_MILLIS - 1);
+        assertThat(started).isEmpty();
+        advance(1);
+        assertThat(started).containsExactly(1);
     }
 
     @Test
-    void theOldestAreHandedOnFirst() {
+    void releasesTheOldestFirst() {
         arrive(1, Long.MAX_VALUE);
         arrive(2, Long.MAX_VALUE);
         held.releaseAll();
-        assertThat(begun).containsExactly(1, 2).inOrder();
+        assertThat(started).containsExactly(1, 2).inOrder();
     }
 
     @Test
-    void nothingIsLookedAtWhileNobodyWaits() {
+    void schedulesNoCheckWhileNothingIsHeld() {
         arrive(1, 1_000);
-        assertThat(looks).hasSize(1);
-        pass(500);
-        assertThat(looks).isEmpty();
+        assertThat(scheduledChecks).hasSize(1);
+        advance(500);
+        assertThat(scheduledChecks).isEmpty();
     }
 
-    private void arrive(int request, long patienceMillis) {
-        ArrivalQueue.Arrival arrival = () -> begun.add(request);
-        held.add(arrival, HeldArrivals.deadlineMillis(nowMillis, patienceMillis));
+    private void arrive(int request, long callerTimeoutMillis) {
+        ArrivalQueue.Arrival arrival = () -> started.add(request);
+        held.add(arrival, HeldArrivals.deadlineMillis(nowMillis, callerTimeoutMillis));
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nowMillis += millis;
-        List<Runnable> due = List.copyOf(looks);
-        looks.clear();
+        List<Runnable> due = List.copyOf(scheduledChecks);
+        scheduledChecks.clear();
         due.forEach(Runnable::run);
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/NewerConfigurationTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/NewerConfigurationTest.java
@@ -12,12 +12,13 @@
 import org.radishpass.routing.testing.TrafficBed;
 
 /**
- * The pattern: routers on an eighth of a core that have all started anew, and a configuration each second. One of them had version 49 in
- * force while 52 had been acknowledged 4 s before; it denied routes and keys that 52 has, and callers do not come back after that.
+ * Guards against denials by an outdated configuration. Restarted routers on an eighth of a core received a new
+ * configuration every second; one of them still used version 49 when version 52 had been acknowledged 4 s before. It
+ * denied routes and keys that version 52 allows, and callers do not retry after a denial.
  */
 final class NewerConfigurationTest {
     private static final long TIMEOUT_MILLIS = 20_000;
-    private static final long EXPECTED_MILLIS = 5_000;
+    private static final long EXPECTED_WITHIN_MILLIS = 5_000;
 
     private final TrafficBed bed;
 
@@ -31,23 +32,23 @@
     }
 
     @Test
-    void whatANewerConfigurationMayAllowIsNotDenied() throws Exception {
+    void doesNotDenyWhatAnExpectedNewerConfigurationMayAllow() throws Exception {
         try (FakeEndpoint endpoint = endpoint();
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 404");
-            bed.hearsOfNewer(EXPECTED_MILLIS);
+            bed.hearsOfNewer(EXPECTED_WITHIN_MILLIS);
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 503");
             assertThat(status(caller, "/again/x")).isEqualTo("HTTP/1.1 200");
         }
     }
 
     @Test
-    void oneThatDoesNotComeIsNotWaitedForForEver() throws Exception {
+    void deniesAgainIfTheNewerConfigurationDoesNotArrive() throws Exception {
         try (FakeEndpoint endpoint = endpoint();
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint)
-                        .hearsOfNewer(EXPECTED_MILLIS)
+                        .hearsOfNewer(EXPECTED_WITHIN_MILLIS)
                         .caller()) {
-            bed.skip(EXPECTED_MILLIS + 1);
+            bed.skip(EXPECTED_WITHIN_MILLIS + 1);
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 404");
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementBed.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementFixture.java
@@ -28,18 +28,18 @@
 import org.radishpass.routing.retry.SharedRetryBudget;
 import org.radishpass.routing.testing.PlainDialect;
 
-/** Where requests may go, without a network: the endpoints, the clock and the answers are given by the test. */
-final class PlacementBed implements AutoCloseable {
+/** Places requests without a network. The test sets the endpoints, the clock and the received response heads. */
+final class PlacementFixture implements AutoCloseable {
     static final String SERVICE = "s";
 
     private final NioEventLoopGroup loops = new NioEventLoopGroup(1);
     private final HealthBook health = new HealthBook();
-    private final InFlightBook book = new InFlightBook();
-    private final TrafficTools tools;
+    private final InFlightBook inFlight = new InFlightBook();
+    private final TrafficContext context;
     private RoutingView view = RoutingView.UNKNOWN;
     private long nowMillis = 1_000_000;
 
-    PlacementBed() {
+    PlacementFixture() {
         EventLoop loop = loops.next();
         SimpleMeterRegistry metrics = new SimpleMeterRegistry();
         RequestLog log = new RequestLog(metrics);
@@ -47,15 +47,15 @@
         PlainDialect dialect = new PlainDialect();
         EndpointSignals signals =
                 new EndpointSignals(clock, () -> view.directory(), log, EndpointListener.NONE, metrics);
-        this.tools = new TrafficTools(
+        this.context = new TrafficContext(
                 loop,
                 clock,
                 () -> view,
                 dialect,
                 new EndpointConnections(loop, dialect, health, signals, clock, metrics),
                 signals,
-                new EndpointChooser(book, new DataCentre("here")),
-                book,
+                new EndpointChooser(inFlight, new DataCentre("here")),
+                inFlight,
                 health,
                 new SharedRetryBudget(RetryAllowance.DEFAULT, nowMillis),
                 log,
@@ -67,7 +67,8 @@
                 "e" + number, SERVICE, new Address("10.0.0." + (1 + number), 80), new DataCentre("here"), 6, false);
     }
 
-    PlacementBed knows(List<ServiceEndpoint> endpoints) {
+    /** Sets the listed endpoints. */
+    PlacementFixture setEndpoints(List<ServiceEndpoint> endpoints) {
         view = new RoutingView(
                 null,
                 0,
@@ -82,7 +83,8 @@
         return this;
     }
 
-    void pass(long millis) {
+    /** Advances the clock. */
+    void advance(long millis) {
         nowMillis += millis;
     }
 
@@ -90,14 +92,14 @@
         return nowMillis;
     }
 
-    /** An endpoint answers with a head. */
-    void answers(ServiceEndpoint endpoint, AnswerHead head) {
-        tools.signals().head(endpoint, head);
+    /** Processes a response head of an endpoint. */
+    void receiveHead(ServiceEndpoint endpoint, AnswerHead head) {
+        context.signals().headReceived(endpoint, head);
     }
 
-    /** An endpoint rejects a request with Retry-After. */
-    void rejects(ServiceEndpoint endpoint, long backoffMillis) {
-        answers(
+    /** Processes a rejection of a request with Retry-After. */
+    void reject(ServiceEndpoint endpoint, long backoffMillis) {
+        receiveHead(
                 endpoint,
                 AnswerHead.builder(503)
                         .notRun(true)
@@ -109,17 +111,17 @@
         return health;
     }
 
-    InFlightBook book() {
-        return book;
+    InFlightBook inFlight() {
+        return inFlight;
     }
 
     RequestPlacer placer() {
-        return tools.placer();
+        return context.placer();
     }
 
-    Terms terms() {
+    RequestTerms terms() {
         Route route = Route.builder("r").split(TrafficSplit.all(SERVICE)).build();
-        return Terms.of(
+        return RequestTerms.of(
                 new RequestHead("id", "h", "/", OptionalLong.empty(), null, null, null),
                 route,
                 Optional.of(new Workspace("w", OptionalInt.empty(), Set.of())),
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
@@ -14,13 +14,15 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks what callers are told whose request ends its endpoints, and that others are served all the while. */
+/**
+ * Checks the responses to callers whose request crashes its endpoint, and that other requests are served meanwhile.
+ */
 final class QuarantinedRequestTest {
-    private static final long LONG = 20_000;
-    private static final String POISON = "poison";
+    private static final long TIMEOUT_MILLIS = 20_000;
+    private static final String CRASHING_BODY = "poison";
 
-    /** Milliseconds in which an end is surely known: a connection over loopback is refused within one. */
-    private static final long TO_LEARN_MILLIS = 300;
+    /** Milliseconds within which an exit is certainly detected; a connection over loopback is refused within 1 ms. */
+    private static final long EXIT_DETECTION_MILLIS = 300;
 
     private final TrafficBed bed;
     private final List<FakeEndpoint> endpoints = new ArrayList<>();
@@ -38,101 +40,101 @@
     }
 
     @Test
-    void aRequestThatIsHeldBackIsRefusedAsNotRunAndToldToStayAway() throws Exception {
+    void aQuarantinedRequestIsRefusedAsNotExecutedWithALongRetryAfter() throws Exception {
         startEndpoints(8);
-        assertThat(ask("/once/", POISON)).startsWith("HTTP/1.1 502");
-        assertThat(ask("/once/", POISON)).startsWith("HTTP/1.1 502");
-        String answer = ask("/once/", POISON);
-        assertThat(answer).startsWith("HTTP/1.1 503");
-        assertThat(retryAfterSeconds(answer)).isAtLeast(60.0);
-        assertThat(ended()).isEqualTo(2);
+        assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
+        assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
+        String response = send("/once/", CRASHING_BODY);
+        assertThat(response).startsWith("HTTP/1.1 503");
+        assertThat(retryAfterSeconds(response)).isAtLeast(60.0);
+        assertThat(exitedEndpoints()).isEqualTo(2);
     }
 
     @Test
-    void anotherBodyPathOrMethodIsAnotherRequest() throws Exception {
+    void requestsWithAnotherBodyOrPathAreNotQuarantined() throws Exception {
         startEndpoints(8);
-        ask("/once/", POISON);
-        ask("/once/", POISON);
-        assertThat(ask("/once/", "harmless")).startsWith("HTTP/1.1 200");
-        assertThat(ask("/once/x", "harmless")).startsWith("HTTP/1.1 200");
-        assertThat(ask("/again/", "harmless")).startsWith("HTTP/1.1 200");
+        send("/once/", CRASHING_BODY);
+        send("/once/", CRASHING_BODY);
+        assertThat(send("/once/", "harmless")).startsWith("HTTP/1.1 200");
+        assertThat(send("/once/x", "harmless")).startsWith("HTTP/1.1 200");
+        assertThat(send("/again/", "harmless")).startsWith("HTTP/1.1 200");
     }
 
     @Test
-    void oneArrivalThatMayRunAgainEndsTwoEndpointsAtMostAndDoesNotClaimThatItHasNotRun() throws Exception {
+    void oneArrivalOfARetryableRequestCrashesAtMostTwoEndpointsAndIsNotReportedAsNotExecuted() throws Exception {
         startEndpoints(8);
-        assertThat(ask("/again/", POISON)).startsWith("HTTP/1.1 502");
-        assertThat(ended()).isEqualTo(2);
-        assertThat(ask("/again/", POISON)).startsWith("HTTP/1.1 503");
-        assertThat(ended()).isEqualTo(2);
+        assertThat(send("/again/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
+        assertThat(exitedEndpoints()).isEqualTo(2);
+        assertThat(send("/again/", CRASHING_BODY)).startsWith("HTTP/1.1 503");
+        assertThat(exitedEndpoints()).isEqualTo(2);
     }
 
     @Test
-    void aRequestThatWasAtWorkAtAnEndIsTriedElsewhereAndThenClear() throws Exception {
-        FakeEndpoint dying =
+    void aRequestInFlightAtAnExitIsRetriedElsewhereAndThenCleared() throws Exception {
+        FakeEndpoint exiting =
                 new FakeEndpoint("dying", (request, out) -> endpoints.get(0).close());
-        endpoints.add(dying);
-        FakeEndpoint sound = sound("sound");
-        bed.knows(LONG, dying, sound);
+        endpoints.add(exiting);
+        FakeEndpoint healthy = healthyEndpoint("sound");
+        bed.knows(TIMEOUT_MILLIS, exiting, healthy);
         for (int request = 0; request < 6; request++) {
-            assertThat(ask("/again/", "innocent")).startsWith("HTTP/1.1 200");
+            assertThat(send("/again/", "innocent")).startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
-    void answersThatBreakOffAtEndpointsThatLiveOnHoldNothingBack() throws Exception {
+    void failedResponsesOfRunningEndpointsDoNotQuarantineARequest() throws Exception {
         for (int number = 0; number < 3; number++) {
             endpoints.add(new FakeEndpoint("resetting-" + number, (request, out) -> request.reset()));
         }
-        bed.knows(LONG, endpoints.toArray(FakeEndpoint[]::new));
+        bed.knows(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
         for (int request = 0; request < 6; request++) {
-            assertThat(ask("/once/", "innocent")).startsWith("HTTP/1.1 502");
+            assertThat(send("/once/", "innocent")).startsWith("HTTP/1.1 502");
         }
     }
 
     @Test
-    void afterAWhileItIsTriedOnceMoreAndServedIfItIsHarmlessNow() throws Exception {
+    void aQuarantinedRequestIsTestedLaterAndServedIfHarmless() throws Exception {
         startEndpoints(3);
-        ask("/once/", POISON);
-        ask("/once/", POISON);
-        assertThat(ask("/once/", POISON)).startsWith("HTTP/1.1 503");
-        bed.knows(LONG, sound("mended"));
+        send("/once/", CRASHING_BODY);
+        send("/once/", CRASHING_BODY);
+        assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 503");
+        bed.knows(TIMEOUT_MILLIS, healthyEndpoint("mended"));
         bed.skip(61_000);
-        assertThat(ask("/once/", POISON)).startsWith("HTTP/1.1 200");
-        assertThat(ask("/once/", POISON)).startsWith("HTTP/1.1 200");
+        assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 200");
+        assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 200");
     }
 
     private void startEndpoints(int count) throws IOException {
         for (int number = 0; number < count; number++) {
-            int own = number;
+            int index = number;
             endpoints.add(new FakeEndpoint("endpoint-" + number, (request, out) -> {
-                if (request.body().equals(POISON)) {
-                    endpoints.get(own).close();
+                if (request.body().equals(CRASHING_BODY)) {
+                    endpoints.get(index).close();
                 } else {
                     write(out, whole(request, 200, "ok"));
                 }
             }));
         }
-        bed.knows(LONG, endpoints.toArray(FakeEndpoint[]::new));
+        bed.knows(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
     }
 
-    private FakeEndpoint sound(String id) throws IOException {
+    private FakeEndpoint healthyEndpoint(String id) throws IOException {
         FakeEndpoint endpoint = new FakeEndpoint(id, (request, out) -> write(out, whole(request, 200, "ok")));
         endpoints.add(endpoint);
         return endpoint;
     }
 
-    private String ask(String path, String body) throws Exception {
+    private String send(String path, String body) throws Exception {
         try (TestCaller caller = bed.caller()) {
             String head = caller.request("POST", path, "r", body).readUntil("\r\n\r\n");
             caller.readBody(head);
             return head;
         } finally {
-            Thread.sleep(TO_LEARN_MILLIS);
+            Thread.sleep(EXIT_DETECTION_MILLIS);
         }
     }
 
-    private long ended() {
+    private long exitedEndpoints() {
         return endpoints.stream().filter(FakeEndpoint::closed).count();
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
@@ -18,13 +18,13 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks requests while endpoints are in a data centre that is drained, or have just started. */
+/** Checks how requests are placed while endpoints are in a drained data centre, or have just started. */
 final class RestrictedEndpointsTest {
     private static final long TIMEOUT_MILLIS = 20_000;
     private static final long COLD_MILLIS = 60_000;
 
-    /** What this router alone may send to a cold endpoint in a second. */
-    private static final int SHARE = 2;
+    /** The number of requests per second that this router alone may send to a cold endpoint. */
+    private static final int COLD_REQUESTS_PER_SECOND = 2;
 
     private final TrafficBed bed;
 
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
-    void whereAllIsDrainedARequestIsRefusedAtOnceAsNotRun(String path) throws Exception {
+    void refusesARequestAsNotExecutedIfEveryDataCentreIsDrained(String path) throws Exception {
         try (FakeEndpoint endpoint = endpoint("a");
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint)
                         .restricts(new EndpointEligibility(Set.of(new DataCentre("here")), Map.of(), RegionMap.EMPTY))
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void endpointsThatAreWarmGetEverythingWhileTheyHaveRoom() throws Exception {
+    void sendsAllRequestsToWarmEndpointsWhileTheyHaveCapacity() throws Exception {
         try (FakeEndpoint warm = endpoint("a");
                 FakeEndpoint cold = endpoint("b");
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, warm, cold)
@@ -66,20 +66,20 @@
     }
 
     @Test
-    void anEndpointThatIsAloneAndColdGetsNoMoreThanItsShare() throws Exception {
+    void limitsTheRequestsToTheOnlyEndpointWhileItIsCold() throws Exception {
         try (FakeEndpoint cold = endpoint("b");
                 TestCaller caller =
                         bed.knows(TIMEOUT_MILLIS, cold).restricts(cold("b")).caller()) {
-            for (int request = 0; request < SHARE; request++) {
+            for (int request = 0; request < COLD_REQUESTS_PER_SECOND; request++) {
                 assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
             }
             assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 503");
-            assertThat(cold.unseen()).isEqualTo(SHARE);
+            assertThat(cold.unseen()).isEqualTo(COLD_REQUESTS_PER_SECOND);
 
             bed.skip(2_000);
             assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
             bed.skip(COLD_MILLIS);
-            for (int request = 0; request < 3 * SHARE; request++) {
+            for (int request = 0; request < 3 * COLD_REQUESTS_PER_SECOND; request++) {
                 assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
             }
         }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
@@ -18,9 +18,12 @@
 import org.radishpass.routing.testing.TestCaller;
 import org.radishpass.routing.testing.TrafficBed;
 
-/** Checks streams, and connections of callers: what breaks, leaves, is sent ahead or stopped. */
+/**
+ * Checks streams and the connections of callers: failed streams, disconnects, pipelined requests and the stop of the
+ * router.
+ */
 final class StreamAndCallerTest {
-    private static final long LONG = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     private final TrafficBed bed;
 
@@ -34,37 +37,38 @@
     }
 
     /**
-     * Seen: a router that was stopping took a request and passed it on, and its process ended before the answer. How it came about:
-     * nothing was in progress when it looked, and the request came in the half second that the process took to end.
+     * Guards against forwarding a request while the process is ending. The router had no request in progress when it
+     * decided to stop, and a request arrived in the half second that the process took to end; the process ended before
+     * the response.
      */
     @Test
-    void aRequestThatIsWholeOnlyWhenTheProcessEndsIsNotPassedOn() throws Exception {
-        AtomicInteger arrived = new AtomicInteger();
+    void aRequestCompletedAfterTheServerStoppedIsNotForwarded() throws Exception {
+        AtomicInteger received = new AtomicInteger();
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
-                    arrived.incrementAndGet();
+                    received.incrementAndGet();
                     write(out, whole(request, 200, "done"));
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "first", "x").readUntil("done");
             caller.send("POST /once/ HTTP/1.1\r\nHost: api\r\n" + PlainDialect.ID
                             + ": second\r\nExpect: 100-continue\r\n" + "Content-Length: 1\r\n\r\n")
                     .readUntil("100 Continue\r\n\r\n");
-            CompletableFuture<Integer> ended = new CompletableFuture<>();
-            bed.server().endIfIdle(false, ended::complete);
-            assertThat(ended.get(20, TimeUnit.SECONDS)).isEqualTo(0);
+            CompletableFuture<Integer> stopped = new CompletableFuture<>();
+            bed.server().endIfIdle(false, stopped::complete);
+            assertThat(stopped.get(20, TimeUnit.SECONDS)).isEqualTo(0);
 
             assertThat(caller.send("x").readUntil("\r\n")).contains("503");
-            assertThat(arrived.get()).isEqualTo(1);
+            assertThat(received.get()).isEqualTo(1);
         }
     }
 
     @Test
-    void aStreamThatBreaksGoesOnElsewhereWithoutLossOrRepeat() throws Exception {
-        try (FakeEndpoint breaking = new FakeEndpoint("a", (request, out) -> {
+    void aFailedStreamIsResumedAtAnotherEndpointWithoutLossOrRepetition() throws Exception {
+        try (FakeEndpoint failing = new FakeEndpoint("a", (request, out) -> {
                     write(out, streamHead(request) + chunk(event(1) + event(2) + "id: 3\nda"));
                     request.reset();
                 });
-                FakeEndpoint going = new FakeEndpoint("b", (request, out) -> {
+                FakeEndpoint resuming = new FakeEndpoint("b", (request, out) -> {
                     int after = Integer.parseInt("0" + request.header(PlainDialect.AFTER));
                     StringBuilder events = new StringBuilder();
                     for (int id = after + 1; id <= 5; id++) {
@@ -72,36 +76,36 @@
                     }
                     write(out, streamHead(request) + events + end());
                 });
-                TestCaller caller = bed.knows(LONG, breaking, going).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, failing, resuming).caller()) {
             for (int request = 0; request < 6; request++) {
-                String answer =
+                String response =
                         caller.request("POST", "/resume/", "r" + request, "x").readUntil("0\r\n\r\n");
                 for (int id = 1; id <= 5; id++) {
-                    assertThat(answer.split("id: " + id + "\n", -1)).hasLength(2);
+                    assertThat(response.split("id: " + id + "\n", -1)).hasLength(2);
                 }
             }
         }
     }
 
     @Test
-    void aStreamThatCannotGoOnElsewhereIsCut() throws Exception {
-        try (FakeEndpoint breaking = new FakeEndpoint("a", (request, out) -> {
+    void aFailedStreamThatIsNotResumableIsAborted() throws Exception {
+        try (FakeEndpoint failing = new FakeEndpoint("a", (request, out) -> {
                     write(out, streamHead(request) + chunk(event(1)));
                     request.reset();
                 });
                 FakeEndpoint other = new FakeEndpoint("b", (request, out) -> request.reset());
-                TestCaller caller = bed.knows(LONG, breaking).caller()) {
-            String answer = caller.request("POST", "/stream/", "7", "x").readAll();
-            assertThat(answer).contains("event 1");
-            assertThat(answer).doesNotContain("0\r\n\r\n");
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, failing).caller()) {
+            String response = caller.request("POST", "/stream/", "7", "x").readAll();
+            assertThat(response).contains("event 1");
+            assertThat(response).doesNotContain("0\r\n\r\n");
             assertThat(other.unseen()).isEqualTo(0);
         }
     }
 
     @Test
-    void aCallerThatLeavesEndsItsRun() throws Exception {
+    void theEndpointConnectionIsClosedWhenTheCallerDisconnects() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, streamHead(request)));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/stream/", "7", "x");
             FakeEndpoint.Seen seen = endpoint.next();
             caller.close();
@@ -110,13 +114,13 @@
     }
 
     @Test
-    void aStoppingRouterFinishesWhatItHasAndEndsConnections() throws Exception {
-        java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
+    void aStoppingRouterFinishesItsRequestsAndClosesConnections() throws Exception {
+        java.util.concurrent.CountDownLatch respond = new java.util.concurrent.CountDownLatch(1);
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> {
-                    awaitQuietly(go);
+                    awaitQuietly(respond);
                     write(out, whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "7", "x");
             endpoint.next();
             bed.server().stopping();
@@ -124,18 +128,18 @@
             CompletableFuture<Integer> active = new CompletableFuture<>();
             bed.server().endIfIdle(true, active::complete);
             assertThat(active.get(20, TimeUnit.SECONDS)).isEqualTo(1);
-            go.countDown();
-            String answer = caller.readAll();
-            assertThat(answer).startsWith("HTTP/1.1 200");
-            assertThat(answer.toLowerCase(java.util.Locale.ROOT)).contains("connection: close");
+            respond.countDown();
+            String response = caller.readAll();
+            assertThat(response).startsWith("HTTP/1.1 200");
+            assertThat(response.toLowerCase(java.util.Locale.ROOT)).contains("connection: close");
         }
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (FakeEndpoint endpoint =
                         new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, request.body())));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "1", "first").request("POST", "/once/", "2", "second");
             assertThat(caller.readUntil("first")).contains("X-Id: 1");
             assertThat(caller.readUntil("second")).contains("X-Id: 2");
@@ -143,9 +147,9 @@
     }
 
     @Test
-    void aBodyOverTheLimitIsRefusedAndRunsNothing() throws Exception {
+    void aBodyOverTheLimitIsRefusedAndNotForwarded() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(LONG, endpoint).caller()) {
+                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x".repeat(10_001)).readUntil("\r\n\r\n"))
                     .startsWith("HTTP/1.1 413");
             assertThat(endpoint.unseen()).isEqualTo(0);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/SuspensionAwareClockTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/SuspensionAwareClockTest.java
@@ -8,96 +8,97 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks that time in which the machine was suspended counts. A process that is stopped by a signal does not show it: its steady clock
- * goes on meanwhile, that of a suspended machine does not.
+ * Checks that the clock includes the time in which the machine was suspended. Stopping the process by a signal does not
+ * simulate a suspension, because the steady clock of a stopped process continues and that of a suspended machine does
+ * not.
  */
 final class SuspensionAwareClockTest {
     private static final long RESOLUTION_MILLIS = 10;
 
     private long steadyMillis = 1_000;
-    private long timeOfDayMillis = 1_800_000_000_000L;
-    private long bootMillis = 900_000;
-    private boolean bootTimeKnown = true;
-    private int bootTimeReadings;
+    private long wallClockMillis = 1_800_000_000_000L;
+    private long uptimeMillis = 900_000;
+    private boolean uptimeKnown = true;
+    private int uptimeReads;
     private final SuspensionAwareClock clock =
-            new SuspensionAwareClock(() -> steadyMillis, () -> timeOfDayMillis, this::bootTime);
+            new SuspensionAwareClock(() -> steadyMillis, () -> wallClockMillis, this::readUptime);
 
     @Test
-    void aSuspensionCounts() {
+    void includesSuspensions() {
         long before = clock.millis();
-        suspended(3_000);
-        pass(40);
+        suspend(3_000);
+        advance(40);
         assertAbout(before + 3_040);
-        suspended(700);
-        pass(1);
+        suspend(700);
+        advance(1);
         assertAbout(before + 3_741);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-86_400_000, -400, 400, 5_000, 86_400_000})
-    void aTimeOfDayThatIsSetDoesNotCount(long stepMillis) {
+    void ignoresChangesOfTheWallClock(long stepMillis) {
         long before = clock.millis();
-        timeOfDayMillis += stepMillis;
-        pass(40);
+        wallClockMillis += stepMillis;
+        advance(40);
         assertThat(clock.millis()).isEqualTo(before + 40);
-        suspended(3_000);
+        suspend(3_000);
         assertAbout(before + 3_040);
     }
 
     @Test
-    void aTimeOfDayThatDriftsDoesNotCount() {
+    void ignoresDriftOfTheWallClock() {
         long before = clock.millis();
         for (int step = 0; step < 1_000; step++) {
-            pass(10);
-            timeOfDayMillis++;
+            advance(10);
+            wallClockMillis++;
             clock.millis();
         }
         assertThat(clock.millis()).isEqualTo(before + 10_000);
     }
 
     @Test
-    void withoutTheBootTimeNothingIsCountedThatMayHaveBeenSet() {
-        bootTimeKnown = false;
+    void ignoresJumpsIfTheUptimeIsUnknown() {
+        uptimeKnown = false;
         long before = clock.millis();
-        suspended(3_000);
+        suspend(3_000);
         assertThat(clock.millis()).isEqualTo(before);
     }
 
     @Test
-    void theBootTimeIsReadOnlyAfterAJump() {
+    void readsTheUptimeOnlyAfterAJump() {
         for (int step = 0; step < 1_000; step++) {
-            pass(1);
+            advance(1);
             clock.millis();
         }
-        assertThat(bootTimeReadings).isEqualTo(1);
+        assertThat(uptimeReads).isEqualTo(1);
     }
 
     @Test
-    void theClockOfThisProcessGoesOn() {
+    void theSystemClockDoesNotGoBackwards() {
         long before = MonotonicClock.SYSTEM.millis();
         assertThat(MonotonicClock.SYSTEM.millis()).isAtLeast(before);
     }
 
-    /** The boot time is told in steps, one at each of two readings. */
+    /** Allows for one step of the uptime resolution at each of the two readings. */
     private void assertAbout(long millis) {
         assertThat(Math.abs(clock.millis() - millis)).isAtMost(2 * RESOLUTION_MILLIS);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         steadyMillis += millis;
-        timeOfDayMillis += millis;
-        bootMillis += millis;
+        wallClockMillis += millis;
+        uptimeMillis += millis;
     }
 
-    private void suspended(long millis) {
-        timeOfDayMillis += millis;
-        bootMillis += millis;
+    private void suspend(long millis) {
+        wallClockMillis += millis;
+        uptimeMillis += millis;
     }
 
-    private OptionalLong bootTime() {
-        bootTimeReadings++;
-        return bootTimeKnown
-                ? OptionalLong.of(bootMillis / RESOLUTION_MILLIS * RESOLUTION_MILLIS)
+    private OptionalLong readUptime() {
+        uptimeReads++;
+        return uptimeKnown
+                ? OptionalLong.of(uptimeMillis / RESOLUTION_MILLIS * RESOLUTION_MILLIS)
                 : OptionalLong.empty();
     }
 }
