--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ColdEndpoints.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ColdEndpoints.java
@@ -11,15 +11,16 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * Finds out which endpoints bear little because they have just started, or may have become so: those whose entry says it, and those of a
- * data centre that was given back after it had been emptied, until their entries have had the time to say it.
+ * Determines which endpoints are cold, which means that they can take only part of their usual load because they have
+ * just started. An endpoint is cold if its registration entry says so. After a data centre returns from a drain, its
+ * endpoints are also treated as cold until their entries have had time to state whether they are.
  */
 final class ColdEndpoints {
     /**
-     * Milliseconds after which a reading of the list shows what an endpoint has become: it renews its entry every 1.2 s, and the entry
-     * takes a moment to be there.
+     * Milliseconds after which a read of the endpoint list reflects a change in an endpoint's state. Endpoints renew
+     * their entries every 1.2 s, and a new entry becomes visible shortly after it is written.
      */
-    static final long ENTRY_LAG_MILLIS = 1_500;
+    static final long ENTRY_UPDATE_DELAY_MILLIS = 1_500;
 
     private final DirectoryTracker directory;
     private final DrainTracker drains;
@@ -32,44 +33,46 @@
     }
 
     /**
-     * Returns until when endpoints are taken to be cold, by id, on the monotonic clock in milliseconds; those that are warm are left out.
+     * Returns, for each cold endpoint by id, when it stops being cold, on the monotonic clock in milliseconds. Warm
+     * endpoints are absent.
      *
      * @param configuration the configuration in force
-     * @param nowMillis the time on the monotonic clock, in milliseconds
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
      */
     Map<String, Long> untilMillis(RoutingConfiguration configuration, long nowMillis) {
-        Map<String, Long> until = new HashMap<>();
+        Map<String, Long> untilMillisById = new HashMap<>();
         Map<DataCentre, Long> returnedAtMillis = drains.returnedAtMillis();
         for (ServiceEndpoint endpoint : directory.directory().all()) {
             Optional<ColdStart> coldStart =
                     configuration.service(endpoint.service()).flatMap(ServiceSpec::coldStart);
             if (coldStart.isPresent()) {
-                long byReturn = byReturn(returnedAtMillis.get(endpoint.dataCentre()), coldStart.get());
-                long millis = Math.max(byEntry(endpoint, nowMillis), byReturn);
-                if (millis > nowMillis) {
-                    until.put(endpoint.id(), millis);
+                long afterDrainMillis =
+                        coldUntilAfterDrain(returnedAtMillis.get(endpoint.dataCentre()), coldStart.get());
+                long coldUntilMillis = Math.max(coldUntilByEntry(endpoint, nowMillis), afterDrainMillis);
+                if (coldUntilMillis > nowMillis) {
+                    untilMillisById.put(endpoint.id(), coldUntilMillis);
                 }
             }
         }
-        return until;
+        return untilMillisById;
     }
 
-    private long byEntry(ServiceEndpoint endpoint, long nowMillis) {
+    private long coldUntilByEntry(ServiceEndpoint endpoint, long nowMillis) {
         long storeMillis = endpoint.coldUntilStoreMillis();
         if (storeMillis == ServiceEndpoint.NEVER_COLD) {
             return StoreClock.NEVER;
         }
-        long latest = storeClock.latest(storeMillis, nowMillis);
-        // who has never reached the store counts from now on what was left when the list was read
-        return latest == StoreClock.NEVER
+        long latestMillis = storeClock.latest(storeMillis, nowMillis);
+        // While the store's time is unknown, the time that was left when the list was read counts from now.
+        return latestMillis == StoreClock.NEVER
                 ? nowMillis + storeMillis - directory.reading().storeMillis()
-                : latest;
+                : latestMillis;
     }
 
-    private long byReturn(@Nullable Long returnedAtMillis, ColdStart coldStart) {
-        if (returnedAtMillis == null || directory.readAtMillis() >= returnedAtMillis + ENTRY_LAG_MILLIS) {
+    private long coldUntilAfterDrain(@Nullable Long returnedAtMillis, ColdStart coldStart) {
+        if (returnedAtMillis == null || directory.readAtMillis() >= returnedAtMillis + ENTRY_UPDATE_DELAY_MILLIS) {
             return StoreClock.NEVER;
         }
-        return returnedAtMillis + ENTRY_LAG_MILLIS + coldStart.millis();
+        return returnedAtMillis + ENTRY_UPDATE_DELAY_MILLIS + coldStart.millis();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
@@ -12,44 +12,49 @@
 import reactor.core.Disposables;
 
 /**
- * Waits for newer configurations at the store while that is this router's duty. One answer is on its way at a time: begun anew while it
- * comes, a large document would share its link with itself. Runs on the control thread.
+ * Long-polls the store for newer configurations while this router is responsible for it. Only one response is received
+ * at a time: a request that is repeated while a large document is being received would compete with that transfer for
+ * the same link. Runs on the control thread.
  */
 final class ConfigurationFollower {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFollower.class);
 
-    /** How long the store may hold a question for a newer configuration; most end earlier. */
+    /** How long the store may hold a long poll open; most polls end earlier. */
     static final Duration WAIT = Duration.ofSeconds(20);
 
-    /** Milliseconds that the whole document takes to come from which on peers are waited for: half of what a change may take in all. */
-    private static final long SLOW_MILLIS = 400;
+    /**
+     * Milliseconds from which a transfer of the whole document counts as slow, so that this router relies on peers. The
+     * value is half of the time within which a change must be in force everywhere.
+     */
+    private static final long SLOW_TRANSFER_MILLIS = 400;
 
     /**
-     * How many times as large as the last whole configuration an answer may be: one version with some more routes. A larger one holds
-     * several versions, of which one is wanted. After 25 changes of 500 KB within 2 s it took 10 s on 14 Mbit/s.
+     * Largest accepted ratio between the size of a long-poll response and that of the last document read in full. The
+     * factor leaves room for one version with some more routes. A larger response contains several versions, of which
+     * only the newest is needed: receiving 25 changes of 500 KB made within 2 s took 10 s at 14 Mbit/s.
      */
-    private static final long MOST_TIMES = 2;
+    private static final long MAX_RESPONSE_TO_DOCUMENT_RATIO = 2;
 
-    /** Bytes up to which an answer is taken whatever the last one was: 20 ms on a link of 7 Mbit/s. */
-    private static final long SMALL_BYTES = 16_384;
+    /** Size in bytes up to which a response is always accepted; such a response takes 20 ms on a link of 7 Mbit/s. */
+    private static final long ALWAYS_ACCEPTED_BYTES = 16_384;
 
     private final ControlThread thread;
     private final MonotonicClock clock;
     private final ControlSource source;
     private final Listener listener;
-    private final RetryPause pause = new RetryPause();
-    private final Disposable.Swap call = Disposables.swap();
+    private final RetryPause retryPause = new RetryPause();
+    private final Disposable.Swap request = Disposables.swap();
     private State state = State.IDLE;
-    private boolean checking;
+    private boolean checkInProgress;
     private StorePosition position = StorePosition.NONE;
-    private long wholeBytes;
-    private long wholeBegunAtMillis;
-    private long wholeMillis;
-    private boolean readsWhole = true;
-    private boolean firstWait = true;
+    private long fullReadBytes;
+    private long fullReadStartedAtMillis;
+    private long fullReadMillis;
+    private boolean fullReadNeeded = true;
+    private boolean firstLongPoll = true;
     private boolean historyLost;
-    private int lastCall;
-    private int lastPause;
+    private int latestRequestNumber;
+    private int latestPauseNumber;
 
     ConfigurationFollower(ControlThread thread, MonotonicClock clock, ControlSource source, Listener listener) {
         this.thread = thread;
@@ -58,195 +63,209 @@
         this.listener = listener;
     }
 
-    /** What it does now. */
+    /** The state of the request to the store. */
     private enum State {
+        /** No request is in progress or scheduled. */
         IDLE,
-        /** Something is asked of the store, and nothing has come. */
+        /** A request is in progress and no response has started to arrive. */
         WAITING,
-        /** An answer comes. */
+        /** A response is being received. */
         RECEIVING,
-        /** The store did not answer, or was restored, and is asked again after a while. */
+        /** The store did not respond or was restored; the next request is delayed. */
         PAUSING
     }
 
-    /** Reads the configuration, whatever the duty. */
+    /** Reads the configuration once, whether or not this router is responsible for it. */
     void start() {
-        thread.run(this::ask);
+        thread.run(this::sendRequest);
     }
 
-    /** Waits for a newer configuration while that is this router's duty, and no longer. */
-    void followIfDue() {
-        boolean due = listener.readsConfiguration();
-        if (state == State.IDLE && due) {
-            ask();
-        } else if (state == State.WAITING && !due && !firstWait()) {
-            stopWaiting();
+    /**
+     * Starts a long poll if this router is responsible for configurations and none is running, and cancels the running
+     * one if it is not.
+     */
+    void pollIfResponsible() {
+        boolean responsible = listener.readsConfiguration();
+        if (state == State.IDLE && responsible) {
+            sendRequest();
+        } else if (state == State.WAITING && !responsible && !keepsFirstLongPoll()) {
+            cancelLongPoll();
         }
     }
 
     /**
-     * Tells whether this is the first wait after a start, in which the fleet may not have met; not where the document came so slowly that
-     * peers, who give it packed, are the sooner ones.
+     * Tells whether the running long poll is the first since a full read and must not be cancelled, because the fleet
+     * may not have discovered its members yet. After a slow full read it may be cancelled: peers send compressed
+     * documents, which arrive sooner.
      */
-    private boolean firstWait() {
-        return firstWait && wholeMillis < SLOW_MILLIS;
+    private boolean keepsFirstLongPoll() {
+        return firstLongPoll && fullReadMillis < SLOW_TRANSFER_MILLIS;
     }
 
     /**
-     * Ends a wait that was begun because others had not been seen for a while. A wait that is left open brings the next document, which peers give packed, a second time and whole: 0.5 s of a link of 10 Mbit/s for
-     * 1,500 routes, in which callers' requests wait.
+     * Cancels a long poll that was started because no other reader had been seen for a while. Left open, the poll would
+     * transfer the next document a second time and uncompressed, although peers send it compressed. For 1,500 routes
+     * that occupies a link of 10 Mbit/s for 0.5 s and delays callers' requests.
      */
-    private void stopWaiting() {
-        lastCall++;
-        call.update(Disposables.disposed());
+    private void cancelLongPoll() {
+        latestRequestNumber++;
+        request.update(Disposables.disposed());
         state = State.IDLE;
     }
 
     /**
-     * The store was restored from a snapshot. What changed since the last answer cannot be asked for any more, and a wait for it would not end.
+     * Handles a restore of the store from a snapshot by reading the whole configuration again. Changes since the last
+     * response can no longer be queried, and a long poll for them would not end.
      *
-     * @param turn how long this router lets others ask first
+     * @param turn how long this router waits so that other routers can read first
      */
     void storeRestored(Duration turn) {
-        readsWhole = true;
+        fullReadNeeded = true;
         if (state == State.WAITING || state == State.PAUSING) {
-            stopWaiting();
+            cancelLongPoll();
             pauseFor(turn);
         }
     }
 
     /**
-     * Asks for a newer configuration apart if the store's revision has risen beyond what is known of it: the wait may hang on a connection
-     * whose peer is gone.
+     * Sends a separate request for a newer configuration if the store's revision is beyond the one known here. The long
+     * poll may be stuck on a connection whose remote end is gone.
      */
-    void check(StorePosition newest) {
-        if (state != State.WAITING || checking || !newest.after(position) || readsWhole) {
+    void checkForNewer(StorePosition newest) {
+        if (state != State.WAITING || checkInProgress || !newest.after(position) || fullReadNeeded) {
             return;
         }
-        checking = true;
+        checkInProgress = true;
         source.configurationAfter(position, Duration.ZERO, bytes -> {})
                 .publishOn(thread.scheduler())
                 .subscribe(result -> {
-                    checking = false;
-                    take(result);
-                    if (readsWhole) {
-                        restartWait();
+                    checkInProgress = false;
+                    apply(result);
+                    if (fullReadNeeded) {
+                        restartLongPoll();
                     }
                 });
     }
 
-    /** The store did not answer to something else: the wait may hang as well, and is begun anew, but not while an answer comes. */
-    void restartWait() {
+    /**
+     * Restarts the long poll after another request to the store has failed, since the poll may be stuck as well. A
+     * response that is already being received continues.
+     */
+    void restartLongPoll() {
         if (state == State.WAITING) {
-            ask();
+            sendRequest();
         }
     }
 
-    private void ask() {
+    private void sendRequest() {
         state = State.WAITING;
-        int number = ++lastCall;
-        boolean whole = readsWhole;
-        LongConsumer begun = bytes -> thread.run(() -> begun(number, bytes));
-        call.update((whole ? source.configuration(begun) : source.configurationAfter(position, WAIT, begun))
+        int number = ++latestRequestNumber;
+        boolean fullRead = fullReadNeeded;
+        LongConsumer onResponseStart = bytes -> thread.run(() -> responseStarted(number, bytes));
+        request.update((fullRead
+                        ? source.configuration(onResponseStart)
+                        : source.configurationAfter(position, WAIT, onResponseStart))
                 .publishOn(thread.scheduler())
-                .subscribe(result -> answered(result, whole)));
+                .subscribe(result -> responseReceived(result, fullRead)));
     }
 
-    private void begun(int number, long bytes) {
-        if (number != lastCall || state != State.WAITING) {
+    private void responseStarted(int number, long bytes) {
+        if (number != latestRequestNumber || state != State.WAITING) {
             return;
         }
-        if (readsWhole) {
-            wholeBytes = bytes;
-            wholeBegunAtMillis = clock.millis();
-        } else if (bytes > Math.max(SMALL_BYTES, MOST_TIMES * wholeBytes)) {
-            readsWhole = true;
-            ask();
+        if (fullReadNeeded) {
+            fullReadBytes = bytes;
+            fullReadStartedAtMillis = clock.millis();
+        } else if (bytes > Math.max(ALWAYS_ACCEPTED_BYTES, MAX_RESPONSE_TO_DOCUMENT_RATIO * fullReadBytes)) {
+            fullReadNeeded = true;
+            sendRequest();
             return;
         }
         state = State.RECEIVING;
-        listener.arrivalChanged();
+        listener.receivingChanged();
     }
 
-    /** Tells whether an answer comes. */
+    /** Tells whether a response is being received. */
     boolean receiving() {
         return state == State.RECEIVING;
     }
 
-    private void answered(ConfigurationReading result, boolean whole) {
-        lastCall++;
+    private void responseReceived(ConfigurationReading result, boolean fullRead) {
+        latestRequestNumber++;
         state = State.IDLE;
         if (result instanceof ConfigurationReading.Unavailable unavailable) {
-            LOG.info("the configuration cannot be read: {}", unavailable.reason());
-            listener.arrivalChanged();
-            pauseFor(pause.next());
+            LOG.info("cannot read the configuration from the store, retrying after a pause: {}", unavailable.reason());
+            listener.receivingChanged();
+            pauseFor(retryPause.next());
             return;
         }
-        boolean lostAgain = historyLost && result instanceof ConfigurationReading.HistoryLost;
-        firstWait = whole;
-        if (whole) {
-            wholeMillis = clock.millis() - wholeBegunAtMillis;
-            readsWhole = false;
+        boolean historyLostAgain = historyLost && result instanceof ConfigurationReading.HistoryLost;
+        firstLongPoll = fullRead;
+        if (fullRead) {
+            fullReadMillis = clock.millis() - fullReadStartedAtMillis;
+            fullReadNeeded = false;
         } else {
             historyLost = false;
         }
-        take(result);
-        if (lostAgain) {
-            pauseFor(pause.next());
+        apply(result);
+        if (historyLostAgain) {
+            pauseFor(retryPause.next());
         } else {
-            pause.reset();
-            followIfDue();
+            retryPause.reset();
+            pollIfResponsible();
         }
     }
 
     private void pauseFor(Duration time) {
         state = State.PAUSING;
-        int number = ++lastPause;
+        int number = ++latestPauseNumber;
         thread.after(time, () -> {
-            if (number == lastPause) {
-                pauseOver();
+            if (number == latestPauseNumber) {
+                pauseEnded();
             }
         });
     }
 
-    private void pauseOver() {
+    private void pauseEnded() {
         if (state == State.PAUSING) {
             state = State.IDLE;
-            followIfDue();
+            pollIfResponsible();
         }
     }
 
-    private void take(ConfigurationReading result) {
+    private void apply(ConfigurationReading result) {
         if (result instanceof ConfigurationReading.Published published) {
-            position = later(published.position());
-            listener.drains(published.drains());
-            listener.published(published.content());
+            position = laterPosition(published.position());
+            listener.drainsRead(published.drains());
+            listener.configurationRead(published.content());
         } else if (result instanceof ConfigurationReading.Unchanged unchanged) {
-            position = later(unchanged.position());
-            listener.drains(unchanged.drains());
+            position = laterPosition(unchanged.position());
+            listener.drainsRead(unchanged.drains());
         } else if (result instanceof ConfigurationReading.HistoryLost) {
-            LOG.info("the store has lost its history; the configuration is read anew", LogEvent.STORE_HISTORY.field());
-            readsWhole = true;
+            LOG.info(
+                    "the store no longer has the history since the last read; reading the whole configuration",
+                    LogEvent.STORE_HISTORY.field());
+            fullReadNeeded = true;
             historyLost = true;
         }
     }
 
-    private StorePosition later(StorePosition read) {
+    private StorePosition laterPosition(StorePosition read) {
         return read.after(position) ? read : position;
     }
 
-    /** Hears what came; called on the control thread. */
+    /** Receives what the store reports about the configuration; called on the control thread. */
     interface Listener {
-        /** Tells whether this router has to wait for configurations now. */
+        /** Tells whether this router is currently responsible for reading configurations from the store. */
         boolean readsConfiguration();
 
-        /** An answer begins to come, or has not come whole. */
-        void arrivalChanged();
+        /** Called when a response starts to arrive, and when a request fails. */
+        void receivingChanged();
 
-        /** The store says this of data centres that are to get nothing new. */
-        void drains(DrainReading reading);
+        /** Called with the data-centre drains that a response reports. */
+        void drainsRead(DrainReading reading);
 
-        /** The store has this configuration. */
-        void published(byte[] content);
+        /** Called with a configuration document that the store returned. */
+        void configurationRead(byte[] content);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationTracker.java
@@ -7,79 +7,84 @@
 import org.radishpass.routing.config.RoutingConfiguration;
 
 /**
- * The configuration in force. It only ever goes to a higher version, whoever offers one. Belongs to the control thread.
+ * Holds the configuration in force. The version in force only increases, whichever source offers a document. Confined
+ * to the control thread.
  *
  * @since 0.2.0
  */
 public final class ConfigurationTracker {
-    /** Milliseconds within which a version comes that a router has heard of; one that has not cannot be read here. */
-    private static final long COMES_WITHIN_MILLIS = 10_000;
+    /**
+     * Milliseconds within which an announced version should arrive. If it has not arrived by then, this router cannot
+     * read it.
+     */
+    private static final long ANNOUNCED_VERSION_TIMEOUT_MILLIS = 10_000;
 
     private final ConfigurationDecoder decoder;
-    private long newestHeardOf = -1;
+    private long newestAnnouncedVersion = -1;
     private long newerExpectedUntilMillis = Long.MIN_VALUE;
     private @Nullable RoutingConfiguration current;
     private final DocumentHistory documents = new DocumentHistory();
 
     /**
-     * Creates a tracker that knows nothing.
+     * Creates a tracker without a configuration.
      *
-     * @param decoder reads documents
+     * @param decoder decodes offered documents
      */
     public ConfigurationTracker(ConfigurationDecoder decoder) {
         this.decoder = decoder;
     }
 
     /**
-     * Notes that a version exists.
+     * Records that a peer has announced a configuration version.
      *
-     * @param existing the version
-     * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether that is news, and the version is newer than the one in force
+     * @param announcedVersion the version
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
+     * @return whether the version is newer than the one in force and had not been announced before; always false before
+     *     the first configuration
      */
-    boolean heardOf(long existing, long nowMillis) {
-        if (current == null || existing <= Math.max(newestHeardOf, version())) {
+    boolean heardOf(long announcedVersion, long nowMillis) {
+        if (current == null || announcedVersion <= Math.max(newestAnnouncedVersion, version())) {
             return false;
         }
-        newestHeardOf = existing;
-        newerExpectedUntilMillis = nowMillis + COMES_WITHIN_MILLIS;
+        newestAnnouncedVersion = announcedVersion;
+        newerExpectedUntilMillis = nowMillis + ANNOUNCED_VERSION_TIMEOUT_MILLIS;
         return true;
     }
 
     /**
-     * Returns until when a newer configuration is expected to come, on the monotonic clock in milliseconds; long ago if there is none that
-     * this router has heard of.
+     * Returns until when an announced newer configuration is expected to arrive, on the monotonic clock in
+     * milliseconds; {@link Long#MIN_VALUE} if no newer version has been announced.
      */
     long newerExpectedUntilMillis() {
-        return newestHeardOf > version() ? newerExpectedUntilMillis : Long.MIN_VALUE;
+        return newestAnnouncedVersion > version() ? newerExpectedUntilMillis : Long.MIN_VALUE;
     }
 
-    /** Returns the version in force; -1 before the first. */
+    /** Returns the version in force; -1 before the first configuration. */
     public long version() {
         return current == null ? -1 : current.version();
     }
 
-    /** Returns the configuration in force. */
+    /** Returns the configuration in force; empty before the first one. */
     public Optional<RoutingConfiguration> current() {
         return Optional.ofNullable(current);
     }
 
-    /** Returns the documents that were in force lately, for peers; the newest is in force. */
+    /** Returns the recent configuration documents, from which peers are served; the newest one is in force. */
     DocumentHistory documents() {
         return documents;
     }
 
     /**
-     * Takes a document.
+     * Decodes an offered document and puts its configuration in force if its version is higher.
      *
-     * @param offered the document
-     * @return whether it is in force from now on
-     * @throws MalformedDocumentException if it cannot be read; the one in force stays
+     * @param offered the encoded document
+     * @return whether the offered configuration was put in force
+     * @throws MalformedDocumentException if the document cannot be decoded; the configuration in force stays unchanged
      */
     public boolean offer(byte[] offered) {
         SharedDocument document = SharedDocument.of(offered.clone());
         if (current != null && document.hash().equals(documents.newest().hash())) {
-            return false; // several peers give the same; decoding it takes 10 ms and more for 1,500 routes
+            return false; // Several peers offer the same document, and decoding 1,500 routes takes at least 10 ms.
         }
         RoutingConfiguration configuration = decoder.decode(document.bytes());
         if (configuration.version() <= version()) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
@@ -14,144 +14,154 @@
 import org.radishpass.routing.fleet.StorePosition;
 
 /**
- * What is known of the endpoints, from readings of the store that may fail, lag or lack entries. A plain object
- * without a clock; it belongs to the control thread.
+ * Maintains this router's list of endpoints from reads of a store that may fail, be delayed or miss entries. The class
+ * has no clock of its own and is confined to the control thread. An endpoint registers under a name, and each start of
+ * its process is one <em>incarnation</em>.
  *
  * <ul>
- *   <li>A start of an endpoint that is leaving, by its entry or by one of its answers, never serves again; another start under the same
- *       name may. A start that another one has replaced never comes back, whoever lists it.
- *   <li>Absence from a reading means that an endpoint is gone, but not after a time in which no router read the store: registrations
- *       lapse while it is away, and are renewed once it is back. A peer that read all the while knows better.
- *   <li>The same holds after a restore of the store from a snapshot, which may lack registrations. It may list again what was gone, which is
- *       held back for as long as such an entry lapses in.
- *   <li>An entry that turns unusable names no endpoint from then on.
- *   <li>A reading older than the last one, by era and revision of the store, is ignored.
+ *   <li>An incarnation that is leaving, according to its entry or to one of its responses, never becomes available
+ *       again; a later incarnation of the same name may. An incarnation that was replaced by another never returns,
+ *       whichever source lists it.
+ *   <li>An endpoint that a read does not contain is gone, unless no router could read the store for a while before:
+ *       registrations expire while the store is unavailable and are renewed once it is back. The list of a peer that
+ *       has read the store without interruption then takes precedence.
+ *   <li>The same applies after the store was restored from a snapshot, which may lack registrations. The snapshot may
+ *       also contain endpoints that are gone. These are suppressed for as long as it takes such an entry to expire.
+ *   <li>An entry that becomes unusable no longer describes an endpoint.
+ *   <li>A read that is older than the last one, by the store's era and revision, is ignored.
  * </ul>
  *
  * @since 0.2.0
  */
 public final class DirectoryTracker {
-    private final Map<String, ServiceEndpoint> known = new LinkedHashMap<>();
-    private final LeavingStarts leaving = new LeavingStarts();
-    private final Set<String> kept = new HashSet<>();
-    private final ReplacedStarts starts = new ReplacedStarts();
-    private final GoneStarts gone = new GoneStarts();
-    private final ReadingContinuity continuity = new ReadingContinuity();
+    private final Map<String, ServiceEndpoint> endpointsById = new LinkedHashMap<>();
+    private final LeavingIncarnations leavingIncarnations = new LeavingIncarnations();
+    private final Set<String> retainedIds = new HashSet<>();
+    private final ReplacedIncarnations replacedIncarnations = new ReplacedIncarnations();
+    private final GoneIncarnations goneIncarnations = new GoneIncarnations();
+    private final ReadContinuity continuity = new ReadContinuity();
     private ListReading reading = ListReading.NONE;
     private long readAtMillis = StoreClock.NEVER;
     private long ownReadStoreMillis = StoreClock.NEVER;
-    private boolean trouble;
+    private boolean lastReadFailed;
     private String source = DirectoryOrigin.UNKNOWN.source();
     private long hash;
     private EndpointDirectory directory = EndpointDirectory.EMPTY;
 
-    /** Returns the reading that the list rests on. */
+    /** Returns the store read on which the list is based. */
     ListReading reading() {
         return reading;
     }
 
-    /** Tells whether a list of endpoints is known. */
+    /** Tells whether a list of endpoints has been read or received. */
     public boolean known() {
         return reading.position().known();
     }
 
-    /** Returns when the store was read last at the earliest, on the monotonic clock in milliseconds. */
+    /**
+     * Returns a lower bound for the time at which the store was last read for this list, on the monotonic clock in
+     * milliseconds.
+     */
     public long readAtMillis() {
         return readAtMillis;
     }
 
-    /** Returns when this router itself read the store last, on the store's clock in milliseconds. */
+    /**
+     * Returns when this router itself last read the store, on the store's clock in milliseconds; {@link
+     * StoreClock#NEVER} if it has not read in this era.
+     */
     long ownReadStoreMillis() {
         return ownReadStoreMillis;
     }
 
-    /** Returns the endpoints. */
+    /** Returns the current endpoints. */
     public EndpointDirectory directory() {
         return directory;
     }
 
-    /** Returns where the list comes from. */
+    /** Returns which router read the list, and at which position and time. */
     public DirectoryOrigin origin() {
         return new DirectoryOrigin(reading.position(), readAtMillis, source, reading.settled());
     }
 
-    /** Returns the list, for peers. */
+    /** Returns the list in the form in which it is sent to peers. */
     EndpointSnapshot snapshot() {
-        return new EndpointSnapshot(reading, List.copyOf(known.values()), Set.copyOf(kept));
+        return new EndpointSnapshot(reading, List.copyOf(endpointsById.values()), Set.copyOf(retainedIds));
     }
 
-    /** Returns a hash of the list; equal for routers with equal lists. */
+    /** Returns a hash of the list; routers with equal lists have equal hashes. */
     public long hash() {
         return hash;
     }
 
     /**
-     * Notes that the store could not be read.
+     * Records that a read of the store failed.
      *
-     * @return whether it could be read until now
+     * @return whether the previous read succeeded
      */
-    public boolean failed() {
-        boolean news = !trouble;
-        trouble = true;
-        return news;
+    public boolean noteReadFailure() {
+        boolean firstFailure = !lastReadFailed;
+        lastReadFailed = true;
+        return firstFailure;
     }
 
-    /** Tells whether the last reading of the store failed. */
-    public boolean trouble() {
-        return trouble;
+    /** Tells whether the last read of the store failed. */
+    public boolean lastReadFailed() {
+        return lastReadFailed;
     }
 
     /**
-     * Takes a reading of the store by this router.
+     * Applies a read of the store by this router.
      *
-     * @param listed what the store answered
-     * @param askedAtMillis when it was asked, on the monotonic clock in milliseconds
+     * @param listed the store's response
+     * @param askedAtMillis when the request was sent, on the monotonic clock in milliseconds
      * @return whether the list has changed
      */
     public boolean listed(DirectoryReading.Listed listed, long askedAtMillis) {
-        boolean first = !known();
-        if (useOf(listed.position()) != ReadingUse.USED) {
-            trouble = false;
+        boolean firstList = !known();
+        if (useOfRead(listed.position()) != ReadUse.USED) {
+            lastReadFailed = false;
             return false;
         }
         boolean restored = known() && listed.position().inLaterEraThan(reading.position());
-        boolean settled = settledBy(askedAtMillis, restored);
-        trouble = false;
+        boolean settled = updateContinuity(askedAtMillis, restored);
+        lastReadFailed = false;
         reading = new ListReading(listed.position(), listed.storeMillis(), settled);
         readAtMillis = Math.max(readAtMillis, askedAtMillis);
         ownReadStoreMillis = listed.storeMillis();
         source = DirectoryOrigin.STORE;
-        listed.unusable().forEach(entry -> forget(entry.name()));
+        listed.unusable().forEach(entry -> removeByName(entry.name()));
         listed.endpoints().stream()
                 .filter(ServiceEndpoint::leaving)
-                .forEach(endpoint -> leaving.confirmed(endpoint.id()));
+                .forEach(endpoint -> leavingIncarnations.confirmedByStore(endpoint.id()));
         if (restored) {
-            gone.storeRestored(listed.storeMillis());
-            leaving.storeRestored(listed.endpoints());
+            goneIncarnations.storeRestored(listed.storeMillis());
+            leavingIncarnations.storeRestored(listed.endpoints());
         }
-        return replace(listed.endpoints(), Set.of(), continuity.keepsMissing()) || first;
+        return replaceEndpoints(listed.endpoints(), Set.of(), continuity.retainsMissing()) || firstList;
     }
 
-    /** Tells what becomes of a reading of the store by this router. */
-    ReadingUse useOf(StorePosition read) {
-        return ReadingUse.of(read, reading.position());
+    /** Returns whether a read by this router at a given position would be used or ignored. */
+    ReadUse useOfRead(StorePosition read) {
+        return ReadUse.of(read, reading.position());
     }
 
-    private boolean settledBy(long askedAtMillis, boolean restored) {
-        boolean storeMayHaveBeenAway = trouble || reading.settled();
+    private boolean updateContinuity(long askedAtMillis, boolean restored) {
+        boolean storeMayHaveBeenUnavailable = lastReadFailed || reading.settled();
         if (!known()) {
-            continuity.begun(askedAtMillis);
-        } else if (restored || ReadingContinuity.isGap(askedAtMillis - readAtMillis, storeMayHaveBeenAway)) {
+            continuity.firstRead(askedAtMillis);
+        } else if (restored || ReadContinuity.isGap(askedAtMillis - readAtMillis, storeMayHaveBeenUnavailable)) {
             continuity.interrupted(askedAtMillis);
         }
         return continuity.settled(askedAtMillis);
     }
 
     /**
-     * Takes a peer's list, if it may replace this router's.
+     * Applies a peer's list, if it may replace this router's list.
      *
      * @param list the peer's list
-     * @param peerReadAtMillis when the store was read for it at the earliest, on this router's monotonic clock in milliseconds
+     * @param peerReadAtMillis the earliest time at which the store was read for the peer's list, on this router's
+     *     monotonic clock in milliseconds
      * @param peer the peer's id
      * @return whether the list has changed
      */
@@ -159,33 +169,33 @@
         if (known() && !list.reading().supersedes(reading)) {
             return false;
         }
-        boolean first = !known();
-        boolean keep = !first && !list.reading().settled();
-        confirm(list.reading(), peerReadAtMillis, peer);
-        return replace(list.endpoints(), list.kept(), keep) || first;
+        boolean firstList = !known();
+        boolean retainMissing = !firstList && !list.reading().settled();
+        adoptReading(list.reading(), peerReadAtMillis, peer);
+        return replaceEndpoints(list.endpoints(), list.retainedIds(), retainMissing) || firstList;
     }
 
     /**
-     * Takes a peer's confirmation that its list is equal.
+     * Records that a peer's list equals this router's list.
      *
-     * @param peerReading the reading that its list rests on
-     * @param peerReadAtMillis when that was at the earliest, on this router's monotonic clock in milliseconds
+     * @param peerReading the store read on which the peer's list is based
+     * @param peerReadAtMillis the earliest time of that read, on this router's monotonic clock in milliseconds
      * @param peer the peer's id
      */
     void confirmed(ListReading peerReading, long peerReadAtMillis, String peer) {
         if (peerReading.supersedes(reading)) {
-            confirm(peerReading, peerReadAtMillis, peer);
+            adoptReading(peerReading, peerReadAtMillis, peer);
         }
     }
 
-    private void confirm(ListReading newReading, long peerReadAtMillis, String peer) {
+    private void adoptReading(ListReading newReading, long peerReadAtMillis, String peer) {
         boolean restored = newReading.inLaterEraThan(reading);
         if (!known() || restored) {
             continuity.interrupted(peerReadAtMillis);
         }
         if (restored) {
             ownReadStoreMillis = StoreClock.NEVER;
-            gone.storeRestored(newReading.storeMillis());
+            goneIncarnations.storeRestored(newReading.storeMillis());
         }
         reading = newReading;
         readAtMillis = Math.max(readAtMillis, peerReadAtMillis);
@@ -196,110 +206,119 @@
     }
 
     /**
-     * Notes that an endpoint's address belongs to another start now.
+     * Records that another incarnation now uses an endpoint's address. The endpoint is treated as leaving.
      *
-     * @param id the endpoint
-     * @return whether this was news
+     * @param id the endpoint's id
+     * @return whether the endpoint was listed and not yet leaving
      */
     public boolean gone(String id) {
-        ServiceEndpoint endpoint = known.get(id);
+        ServiceEndpoint endpoint = endpointsById.get(id);
         if (endpoint == null || endpoint.leaving()) {
             return false;
         }
-        leaving.add(id);
-        known.put(id, endpoint.asLeaving());
-        changed();
+        leavingIncarnations.add(id);
+        endpointsById.put(id, endpoint.asLeaving());
+        updateDerivedState();
         return true;
     }
 
     /**
-     * Notes an endpoint whose own answer stated that it is leaving, to this router or to a peer. The endpoint need not be listed yet.
+     * Records that an endpoint stated in a response, to this router or to a peer, that it is leaving. The endpoint need
+     * not be listed yet.
      *
-     * @param id the endpoint
-     * @return whether this was news
+     * @param id the endpoint's id
+     * @return whether the endpoint was not known to be leaving
      * @since 0.6.0
      */
     public boolean statedLeaving(String id) {
-        if (!leaving.stated(id)) {
+        if (!leavingIncarnations.addStated(id)) {
             return false;
         }
-        ServiceEndpoint endpoint = known.get(id);
+        ServiceEndpoint endpoint = endpointsById.get(id);
         if (endpoint != null) {
-            known.put(id, endpoint.asLeaving());
-            changed();
+            endpointsById.put(id, endpoint.asLeaving());
+            updateDerivedState();
         }
         return true;
     }
 
-    /** Returns endpoints whose own answers stated that they are leaving and of which peers are to be told now. */
+    /**
+     * Returns the ids of leaving endpoints to include in the next message to peers. The endpoints stated it in their
+     * own responses, and the store has not confirmed it yet.
+     */
     List<String> leavingToTell() {
-        return leaving.toTell();
+        return leavingIncarnations.nextToAnnounce();
     }
 
-    private boolean replace(Collection<ServiceEndpoint> endpoints, Set<String> keptThere, boolean keepMissing) {
-        Map<String, ServiceEndpoint> before = new LinkedHashMap<>(known);
-        if (!keepMissing) {
-            known.clear();
+    private boolean replaceEndpoints(
+            Collection<ServiceEndpoint> endpoints, Set<String> retainedByPeer, boolean retainMissing) {
+        Map<String, ServiceEndpoint> before = new LinkedHashMap<>(endpointsById);
+        if (!retainMissing) {
+            endpointsById.clear();
         }
-        kept.clear();
-        kept.addAll(known.keySet());
+        retainedIds.clear();
+        retainedIds.addAll(endpointsById.keySet());
         for (ServiceEndpoint endpoint : endpoints) {
-            boolean keptOnly = keptThere.contains(endpoint.id());
-            if (ended(endpoint, keptOnly)) {
+            boolean retainedOnly = retainedByPeer.contains(endpoint.id());
+            if (hasEnded(endpoint, retainedOnly)) {
                 continue;
             }
-            if (!keptOnly) {
-                kept.remove(endpoint.id());
+            if (!retainedOnly) {
+                retainedIds.remove(endpoint.id());
             }
-            starts.replacing(endpoint).ifPresent(known::remove);
+            replacedIncarnations.recordLatest(endpoint).ifPresent(endpointsById::remove);
             if (endpoint.leaving()) {
-                leaving.add(endpoint.id());
+                leavingIncarnations.add(endpoint.id());
             }
-            ServiceEndpoint steady = sameColdSpell(endpoint, before.get(endpoint.id()));
-            known.put(endpoint.id(), leaving.contains(endpoint.id()) ? steady.asLeaving() : steady);
+            ServiceEndpoint endpointToList = withStableColdEnd(endpoint, before.get(endpoint.id()));
+            endpointsById.put(
+                    endpoint.id(),
+                    leavingIncarnations.contains(endpoint.id()) ? endpointToList.asLeaving() : endpointToList);
         }
-        kept.addAll(keptThere);
-        kept.retainAll(known.keySet());
-        leaving.retain(known.keySet());
-        known.keySet().forEach(gone::listed);
-        before.keySet().stream().filter(id -> !known.containsKey(id)).forEach(gone::gone);
-        changed();
-        return !before.equals(known);
+        retainedIds.addAll(retainedByPeer);
+        retainedIds.retainAll(endpointsById.keySet());
+        leavingIncarnations.retainUnconfirmed(endpointsById.keySet());
+        endpointsById.keySet().forEach(goneIncarnations::noteListed);
+        before.keySet().stream().filter(id -> !endpointsById.containsKey(id)).forEach(goneIncarnations::gone);
+        updateDerivedState();
+        return !before.equals(endpointsById);
     }
 
-    /** Tells whether a start that is listed is known to have ended. */
-    private boolean ended(ServiceEndpoint endpoint, boolean keptOnly) {
+    /** Tells whether a listed incarnation is known to have ended. */
+    private boolean hasEnded(ServiceEndpoint endpoint, boolean retainedOnly) {
         long readMillis = reading.storeMillis();
-        return starts.replaced(endpoint)
-                || (keptOnly && starts.otherKnown(endpoint))
-                || gone.holdsBack(endpoint.id(), readMillis)
-                || (gone.mayListWhatEnded(readMillis) && starts.earlierByItsClock(endpoint));
+        return replacedIncarnations.isReplaced(endpoint)
+                || (retainedOnly && replacedIncarnations.differsFromLatest(endpoint))
+                || goneIncarnations.suppresses(endpoint.id(), readMillis)
+                || (goneIncarnations.mayListStaleEntries(readMillis)
+                        && replacedIncarnations.startedBeforeLatest(endpoint));
     }
 
     /**
-     * Entries say how long an endpoint is still cold as of their last renewal, so that the end seems to move with each reading. The first
-     * end that was read holds for that spell: routers that read at different moments then list the same.
+     * Returns an endpoint with the end of its cold period as it was first read. An entry states how long the endpoint
+     * stays cold as of the entry's last renewal, so the computed end shifts with each read. Keeping the first value
+     * lets routers that read at different times obtain equal lists.
      */
-    private static ServiceEndpoint sameColdSpell(ServiceEndpoint read, @Nullable ServiceEndpoint before) {
+    private static ServiceEndpoint withStableColdEnd(ServiceEndpoint read, @Nullable ServiceEndpoint before) {
         if (before == null) {
             return read;
         }
-        long apartMillis = Math.abs(read.coldUntilStoreMillis() - before.coldUntilStoreMillis());
-        boolean same = read.coldUntilStoreMillis() == ServiceEndpoint.NEVER_COLD
-                || apartMillis <= ColdEndpoints.ENTRY_LAG_MILLIS;
-        return same ? read.coldUntil(before.coldUntilStoreMillis()) : read;
+        long differenceMillis = Math.abs(read.coldUntilStoreMillis() - before.coldUntilStoreMillis());
+        boolean sameColdPeriod = read.coldUntilStoreMillis() == ServiceEndpoint.NEVER_COLD
+                || differenceMillis <= ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS;
+        return sameColdPeriod ? read.coldUntil(before.coldUntilStoreMillis()) : read;
     }
 
-    private void forget(String name) {
-        known.values().removeIf(endpoint -> endpoint.name().equals(name));
+    private void removeByName(String name) {
+        endpointsById.values().removeIf(endpoint -> endpoint.name().equals(name));
     }
 
-    private void changed() {
-        hash = hashOf(known.values(), reading.storeMillis());
-        directory = new EndpointDirectory(known.values());
+    private void updateDerivedState() {
+        hash = hashOf(endpointsById.values(), reading.storeMillis());
+        directory = new EndpointDirectory(endpointsById.values());
     }
 
-    /** The order of the endpoints does not matter. */
+    /** Hashes the endpoints independently of their order. */
     private static long hashOf(Collection<ServiceEndpoint> endpoints, long storeMillis) {
         long sum = endpoints.size();
         for (ServiceEndpoint endpoint : endpoints) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
@@ -12,119 +12,133 @@
 import org.radishpass.routing.fleet.StorePosition;
 
 /**
- * Which data centres are to get nothing new. What the store said at the latest place in its history holds, whoever tells it: the end of a drain is
- * told on like its beginning, so that no router that missed it brings it back. A plain object without a clock; it belongs to the control thread.
+ * Tracks which data centres are drained, so that nothing new is sent to them. For each data centre, the statement at
+ * the latest position in the store's history holds, whichever source reports it. The end of a drain is propagated like
+ * its beginning, so that a router that missed the end does not reinstate the drain. The class has no clock of its own
+ * and is confined to the control thread.
  */
 final class DrainTracker {
-    /** Milliseconds that a row which a snapshot lacked has to be written again: as much as registrations of endpoints have. */
-    static final long GRACE_MILLIS = ReadingContinuity.GRACE_MILLIS;
+    /**
+     * Milliseconds within which a row that is missing from a snapshot has to be written again; endpoint registrations
+     * have the same time.
+     */
+    static final long GRACE_MILLIS = ReadContinuity.ABSENCE_GRACE_MILLIS;
 
-    /** Data centres that are kept in mind: a hundred times those of a deployment; names come from outside. */
-    private static final int MOST_KNOWN = 1_000;
+    /**
+     * Maximum number of tracked data centres, 100 times as many as a deployment has. The limit is needed because the
+     * names come from outside.
+     */
+    private static final int MAX_DATA_CENTRES = 1_000;
 
     private final Map<DataCentre, Change> changes = new LinkedHashMap<>();
-    private final Map<DataCentre, StorePosition> requests = new HashMap<>();
-    private final Map<DataCentre, Missing> missing = new LinkedHashMap<>();
+    private final Map<DataCentre, StorePosition> latestDrainPositions = new HashMap<>();
+    private final Map<DataCentre, MissingRow> missingRows = new LinkedHashMap<>();
 
     /**
-     * Takes an answer of the store.
+     * Applies a response of the store.
      *
-     * @param reading what it says
-     * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether what is known has changed
+     * @param reading the drains that the response reports
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
+     * @return whether the tracked state has changed
      */
     boolean read(DrainReading reading, long nowMillis) {
-        boolean news = false;
+        boolean changed = false;
         for (DataCentreDrain entry : reading.entries()) {
-            news |= offer(entry, nowMillis);
+            changed |= offer(entry, nowMillis);
         }
         if (reading.whole()) {
-            news |= endMissing(reading, nowMillis);
+            changed |= endUnlistedDrains(reading, nowMillis);
         }
-        return news;
+        return changed;
     }
 
-    /** What a whole reading does not name has been taken back by then, or is missing from the snapshot from which the store was restored. */
-    private boolean endMissing(DrainReading reading, long nowMillis) {
+    /**
+     * Handles drains that a complete reading does not list. Such a drain has ended by then, or its row is missing from
+     * the snapshot from which the store was restored.
+     */
+    private boolean endUnlistedDrains(DrainReading reading, long nowMillis) {
         Set<DataCentre> named =
                 reading.entries().stream().map(DataCentreDrain::dataCentre).collect(Collectors.toSet());
-        boolean news = false;
+        boolean changed = false;
         for (Change change : List.copyOf(changes.values())) {
             DataCentre dataCentre = change.drain.dataCentre();
             if (!change.drain.drained() || named.contains(dataCentre)) {
                 continue;
             }
             if (reading.position().inLaterEraThan(change.drain.position())) {
-                missing.putIfAbsent(dataCentre, new Missing(reading.position(), nowMillis + GRACE_MILLIS));
+                missingRows.putIfAbsent(dataCentre, new MissingRow(reading.position(), nowMillis + GRACE_MILLIS));
             } else {
-                news |= offer(new DataCentreDrain(dataCentre, reading.position(), false), nowMillis);
+                changed |= offer(new DataCentreDrain(dataCentre, reading.position(), false), nowMillis);
             }
         }
-        return news;
+        return changed;
     }
 
-    /** Tells whether some data centres stay drained only until their rows had time to be written again. */
+    /** Tells whether some data centres stay drained only until their missing rows have had time to be written again. */
     boolean awaitsRows() {
-        return !missing.isEmpty();
+        return !missingRows.isEmpty();
     }
 
     /**
-     * Ends what a snapshot lacked and was not written again in time.
+     * Ends the drains whose rows were missing from a snapshot and were not written again in time.
      *
-     * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether what is known has changed
+     * @param nowMillis the current time on the monotonic clock, in milliseconds
+     * @return whether the tracked state has changed
      */
     boolean expire(long nowMillis) {
-        boolean news = false;
-        for (Map.Entry<DataCentre, Missing> entry : List.copyOf(missing.entrySet())) {
+        boolean changed = false;
+        for (Map.Entry<DataCentre, MissingRow> entry : List.copyOf(missingRows.entrySet())) {
             if (nowMillis >= entry.getValue().untilMillis()) {
-                missing.remove(entry.getKey());
-                news |= offer(
+                missingRows.remove(entry.getKey());
+                changed |= offer(
                         new DataCentreDrain(entry.getKey(), entry.getValue().readAt(), false), nowMillis);
             }
         }
-        return news;
+        return changed;
     }
 
     /**
-     * Takes what the store or a peer says of a data centre.
+     * Applies a statement of the store or of a peer about a data centre.
      *
-     * @param said what is said
-     * @param sinceMillis since when it holds, on the monotonic clock in milliseconds
-     * @return whether that is news
+     * @param statement the statement
+     * @param sinceMillis since when the statement holds, on the monotonic clock in milliseconds
+     * @return whether the tracked state has changed
      */
-    boolean offer(DataCentreDrain said, long sinceMillis) {
-        Change before = changes.get(said.dataCentre());
-        if (before == null ? changes.size() >= MOST_KNOWN : !replaces(said, before.drain)) {
+    boolean offer(DataCentreDrain statement, long sinceMillis) {
+        Change before = changes.get(statement.dataCentre());
+        if (before == null ? changes.size() >= MAX_DATA_CENTRES : !replaces(statement, before.drain)) {
             return false;
         }
-        DataCentreDrain taken = before != null && broughtBack(said, before.drain)
-                ? new DataCentreDrain(said.dataCentre(), said.position(), false)
-                : said;
-        missing.remove(taken.dataCentre());
-        if (taken.drained()) {
-            requests.put(taken.dataCentre(), taken.position());
+        DataCentreDrain accepted = before != null && isStaleSnapshotRow(statement, before.drain)
+                ? new DataCentreDrain(statement.dataCentre(), statement.position(), false)
+                : statement;
+        missingRows.remove(accepted.dataCentre());
+        if (accepted.drained()) {
+            latestDrainPositions.put(accepted.dataCentre(), accepted.position());
         }
-        boolean same = before != null && before.drain.drained() == taken.drained();
-        long heldSinceMillis = before != null && same ? before.sinceMillis : sinceMillis;
-        changes.put(taken.dataCentre(), new Change(taken, heldSinceMillis));
+        boolean sameState = before != null && before.drain.drained() == accepted.drained();
+        long stateSinceMillis = before != null && sameState ? before.sinceMillis : sinceMillis;
+        changes.put(accepted.dataCentre(), new Change(accepted, stateSinceMillis));
         return true;
     }
 
-    /** At the same place the end of a drain counts: a router that knows of no end has the row of a snapshot from before it. */
-    private static boolean replaces(DataCentreDrain said, DataCentreDrain known) {
-        boolean ended = said.position().equals(known.position()) && known.drained() && !said.drained();
-        return ended || said.position().after(known.position());
+    /**
+     * Tells whether a statement replaces the known one. At the same position the end of a drain takes precedence: a
+     * router that does not know of the end has read the row from a snapshot taken before the drain ended.
+     */
+    private static boolean replaces(DataCentreDrain statement, DataCentreDrain known) {
+        boolean ended = statement.position().equals(known.position()) && known.drained() && !statement.drained();
+        return ended || statement.position().after(known.position());
     }
 
-    /** Tells whether a row that was removed is back only because the snapshot of a restored store still had it. */
-    private boolean broughtBack(DataCentreDrain said, DataCentreDrain known) {
-        StorePosition request = requests.get(said.dataCentre());
-        return said.drained()
+    /** Tells whether a removed row has reappeared only because the snapshot of a restored store still contained it. */
+    private boolean isStaleSnapshotRow(DataCentreDrain statement, DataCentreDrain known) {
+        StorePosition drainPosition = latestDrainPositions.get(statement.dataCentre());
+        return statement.drained()
                 && !known.drained()
-                && request != null
-                && said.position().inLaterEraThan(known.position())
-                && said.position().sameRowAs(request);
+                && drainPosition != null
+                && statement.position().inLaterEraThan(known.position())
+                && statement.position().sameRowAs(drainPosition);
     }
 
     /** Returns the data centres to which nothing new is sent. */
@@ -136,31 +150,31 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Returns when data centres were given back that had been drained, on the monotonic clock in milliseconds. */
+    /** Returns when each formerly drained data centre became usable again, on the monotonic clock in milliseconds. */
     Map<DataCentre, Long> returnedAtMillis() {
         return changes.values().stream()
                 .filter(change -> !change.drain.drained())
                 .collect(Collectors.toUnmodifiableMap(change -> change.drain.dataCentre(), Change::sinceMillis));
     }
 
-    /** Returns all that is known, for peers. */
+    /** Returns everything that is known, to be sent to peers. */
     Collection<Change> changes() {
         return List.copyOf(changes.values());
     }
 
     /**
-     * A data centre that is drained, and whose row a restored store does not have.
+     * A drained data centre whose row a restored store does not contain.
      *
-     * @param readAt where in the store's history it was missing first
-     * @param untilMillis until when it stays drained, on the monotonic clock in milliseconds
+     * @param readAt the position in the store's history at which the row was first missing
+     * @param untilMillis until when the data centre stays drained, on the monotonic clock in milliseconds
      */
-    private record Missing(StorePosition readAt, long untilMillis) {}
+    private record MissingRow(StorePosition readAt, long untilMillis) {}
 
     /**
-     * What holds of a data centre.
+     * The current state of a data centre.
      *
-     * @param drain what the store said
-     * @param sinceMillis since when it holds, on the monotonic clock in milliseconds
+     * @param drain the statement of the store
+     * @param sinceMillis since when the state holds, on the monotonic clock in milliseconds
      */
     record Change(DataCentreDrain drain, long sinceMillis) {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
@@ -12,7 +12,7 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.fleet.StorePosition;
 
-/** Encodes lists of endpoints for peers, and decodes them. */
+/** Encodes endpoint lists as MessagePack for peers, and decodes them. */
 final class EndpointListCodec {
     private static final ObjectMapper MAPPER = new MessagePackMapper();
 
@@ -27,15 +27,15 @@
                 reading.storeMillis(),
                 reading.settled(),
                 list.endpoints().stream().map(Entry::of).toList(),
-                List.copyOf(list.kept()),
+                List.copyOf(list.retainedIds()),
                 reading.position().era()));
     }
 
     /**
-     * Reads a list.
+     * Decodes an endpoint list.
      *
-     * @param bytes the MessagePack
-     * @throws IOException if it is malformed
+     * @param bytes the list as MessagePack
+     * @throws IOException if the list is malformed
      */
     static EndpointSnapshot decode(byte[] bytes) throws IOException {
         try {
@@ -52,12 +52,12 @@
         }
     }
 
-    /** The list on the wire, with the reading that it rests on; earlier releases do not tell the era. */
+    /** The encoded form of a list and of the store read on which it is based. Earlier releases do not send the era. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Document(
             long revision, long storeMillis, boolean settled, List<Entry> endpoints, List<String> kept, long era) {}
 
-    /** One endpoint on the wire. */
+    /** The encoded form of one endpoint. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Entry(
             String name,
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointSnapshot.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointSnapshot.java
@@ -5,19 +5,20 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * A list of endpoints with the reading that it rests on, as routers give it to each other.
+ * A list of endpoints with the store read on which it is based, as routers exchange it.
  *
- * @param reading the reading
- * @param endpoints the endpoints, those that leave included
- * @param kept the ids of those that the reading lacked and that are kept for a while; none if it is settled
+ * @param reading the store read on which the list is based
+ * @param endpoints the endpoints, including those that are leaving
+ * @param retainedIds the ids of endpoints that the read did not contain and that are retained for a while; empty if the
+ *     list is settled
  */
-record EndpointSnapshot(ListReading reading, List<ServiceEndpoint> endpoints, Set<String> kept) {
+record EndpointSnapshot(ListReading reading, List<ServiceEndpoint> endpoints, Set<String> retainedIds) {
     /**
-     * Returns the list as told by a peer, which may tell no era.
+     * Returns this list, received from a peer, with the era filled in if the peer sent none.
      *
-     * @param era the era as known here
+     * @param era the era as known to this router
      */
     EndpointSnapshot resolved(StoreEra era) {
-        return new EndpointSnapshot(reading.resolved(era), endpoints, kept);
+        return new EndpointSnapshot(reading.resolved(era), endpoints, retainedIds);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RetryPause.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RetryPause.java
@@ -3,31 +3,34 @@
 import java.time.Duration;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** How long to wait before the store is asked again: longer with each failure, and spread over routers. */
+/**
+ * Computes how long to wait before the next request to the store. The pause grows with each failure and is randomized,
+ * so that routers do not retry at the same time.
+ */
 final class RetryPause {
-    /** The first pause in milliseconds: a lost answer costs little time. */
-    private static final long FIRST_MILLIS = 350;
+    /** The first pause in milliseconds; short, since a single lost response should cost little time. */
+    private static final long INITIAL_MILLIS = 350;
 
     /**
-     * The longest pause in milliseconds. A try that hangs takes 800 ms itself, and a configuration has to be in force within 2 s
-     * once the store has been well for 3 s; 2,000 broke that bound.
+     * The longest pause in milliseconds. A request that hangs takes 800 ms itself, and a configuration must be in force
+     * within 2 s after the store has worked for 3 s. With pauses of 2,000 ms that bound was not met.
      */
-    private static final long LONGEST_MILLIS = 700;
+    private static final long MAX_MILLIS = 700;
 
-    private static final double GROWTH = 1.6;
+    private static final double GROWTH_FACTOR = 1.6;
 
-    private double millis = FIRST_MILLIS;
+    private double millis = INITIAL_MILLIS;
 
-    /** Returns the next pause, spread by a quarter. */
+    /** Returns the next pause, lengthened by a random share of up to 25%. */
     Duration next() {
         double pause = millis;
-        millis = Math.min(LONGEST_MILLIS, millis * GROWTH);
+        millis = Math.min(MAX_MILLIS, millis * GROWTH_FACTOR);
         return Duration.ofMillis(
                 (long) (pause * (1 + ThreadLocalRandom.current().nextDouble() / 4)));
     }
 
-    /** Starts anew: the store has answered. */
+    /** Returns to the first pause, because the store has responded. */
     void reset() {
-        millis = FIRST_MILLIS;
+        millis = INITIAL_MILLIS;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreClock.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreClock.java
@@ -4,94 +4,102 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Relates the store's steady clock to this router's monotonic clock, from the moments at which questions were asked and answered
- * (Cristian's algorithm). Belongs to the control thread.
+ * Relates the store's monotonic clock to this router's monotonic clock. The estimate uses the times at which requests
+ * were sent and responses received (Cristian's algorithm). Confined to the control thread.
  *
- * <p>Routers tell each other at which moment of the store's clock a list was read. Its age is then known whatever delayed the
- * message: counted from the arrival instead, a message that had lain in a frozen process or behind a cut for 3 s made a list 3 s
- * younger, and endpoints were used 1.1 s beyond the bound for leaving ones.
+ * <p>Routers tell each other when a list was read, on the store's clock. The age of the list is therefore known even if
+ * the message was delayed. If age were counted from the arrival of the message, a message held for 3 s by a frozen
+ * process or a network interruption would make a list appear 3 s younger. As a result, endpoints were used 1.1 s longer
+ * than the bound for leaving endpoints allows.
  */
 final class StoreClock {
-    /** A moment that is not known, on either clock; earlier than all others. */
+    /** Stands for an unknown time, on either clock; earlier than all others. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** How far two clocks drift apart, in milliseconds a millisecond: quartz oscillators are off by at most 100 ppm each. */
-    private static final double DRIFT = 200e-6;
+    /**
+     * Largest drift between two clocks, in milliseconds per millisecond: quartz oscillators are off by at most 100 ppm
+     * each.
+     */
+    private static final double MAX_DRIFT = 200e-6;
 
     private static final Logger LOG = LoggerFactory.getLogger(StoreClock.class);
 
-    /** Bounds of what this router's clock shows when the store's shows 0, in milliseconds. */
-    private double least;
+    /**
+     * Bounds of the offset between the clocks: the time on this router's clock when the store's clock shows 0, in
+     * milliseconds.
+     */
+    private double minOffsetMillis;
 
-    private double most;
+    private double maxOffsetMillis;
     private long observedAtMillis = NEVER;
 
     /**
-     * Takes an answer of the store.
+     * Narrows the offset bounds with a response of the store.
      *
-     * @param askedAtMillis when it was asked, on this router's monotonic clock in milliseconds
-     * @param answeredAtMillis when the answer was taken, on the same clock
-     * @param storeMillis what the store's clock showed in between
+     * @param askedAtMillis when the request was sent, on this router's monotonic clock in milliseconds
+     * @param answeredAtMillis when the response was processed, on the same clock
+     * @param storeMillis the time on the store's clock at some moment in between
      */
     void observed(long askedAtMillis, long answeredAtMillis, long storeMillis) {
-        double newLeast = (double) askedAtMillis - storeMillis;
-        double newMost = (double) answeredAtMillis - storeMillis;
+        double newMinMillis = (double) askedAtMillis - storeMillis;
+        double newMaxMillis = (double) answeredAtMillis - storeMillis;
         if (observedAtMillis != NEVER) {
-            double drift = DRIFT * (answeredAtMillis - observedAtMillis);
-            double bothLeast = Math.max(newLeast, least - drift);
-            double bothMost = Math.min(newMost, most + drift);
-            if (bothLeast <= bothMost) {
-                newLeast = bothLeast;
-                newMost = bothMost;
+            double driftMillis = MAX_DRIFT * (answeredAtMillis - observedAtMillis);
+            double commonMinMillis = Math.max(newMinMillis, minOffsetMillis - driftMillis);
+            double commonMaxMillis = Math.min(newMaxMillis, maxOffsetMillis + driftMillis);
+            if (commonMinMillis <= commonMaxMillis) {
+                newMinMillis = commonMinMillis;
+                newMaxMillis = commonMaxMillis;
             } else {
-                LOG.warn("the store's clock has jumped by about {} ms", Math.round(least - newLeast));
+                LOG.warn("the store's clock has jumped by about {} ms", Math.round(minOffsetMillis - newMinMillis));
             }
         }
-        least = newLeast;
-        most = newMost;
+        minOffsetMillis = newMinMillis;
+        maxOffsetMillis = newMaxMillis;
         observedAtMillis = answeredAtMillis;
     }
 
     /**
-     * Returns the latest moment that the store's clock may show now; {@link ControlSource#TIME_UNKNOWN} while it has not answered yet.
+     * Returns the latest time that the store's clock may show now; {@link ControlSource#TIME_UNKNOWN} before the first
+     * response of the store.
      *
-     * @param nowMillis the time on this router's clock
+     * @param nowMillis the current time on this router's clock, in milliseconds
      */
     long latestStoreMillis(long nowMillis) {
         if (observedAtMillis == NEVER) {
             return ControlSource.TIME_UNKNOWN;
         }
-        double drift = DRIFT * (nowMillis - observedAtMillis);
-        return (long) Math.ceil(nowMillis - least + drift);
+        double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
+        return (long) Math.ceil(nowMillis - minOffsetMillis + driftMillis);
     }
 
     /**
-     * Returns the latest moment on this router's clock that a moment of the store's may be; {@link #NEVER} while the store has not answered
-     * yet.
+     * Returns the latest time on this router's clock that a time on the store's clock may correspond to; {@link #NEVER}
+     * before the first response of the store.
      *
-     * @param storeMillis the moment on the store's clock
-     * @param nowMillis the time on this router's clock
+     * @param storeMillis the time on the store's clock, in milliseconds
+     * @param nowMillis the current time on this router's clock, in milliseconds
      */
     long latest(long storeMillis, long nowMillis) {
         if (observedAtMillis == NEVER) {
             return NEVER;
         }
-        double drift = DRIFT * (nowMillis - observedAtMillis);
-        return (long) Math.ceil(storeMillis + most + drift);
+        double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
+        return (long) Math.ceil(storeMillis + maxOffsetMillis + driftMillis);
     }
 
     /**
-     * Returns the earliest moment on this router's clock that a moment of the store's may have been; {@link #NEVER} while the store
-     * has not answered yet.
+     * Returns the earliest time on this router's clock that a time on the store's clock may correspond to, but not
+     * after the current time; {@link #NEVER} before the first response of the store.
      *
-     * @param storeMillis the moment on the store's clock
-     * @param nowMillis the time on this router's clock
+     * @param storeMillis the time on the store's clock, in milliseconds; {@link #NEVER} if unknown
+     * @param nowMillis the current time on this router's clock, in milliseconds
      */
     long earliest(long storeMillis, long nowMillis) {
         if (observedAtMillis == NEVER || storeMillis == NEVER) {
             return NEVER;
         }
-        double drift = DRIFT * (nowMillis - observedAtMillis);
-        return Math.min(nowMillis, (long) Math.floor(storeMillis + least - drift));
+        double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
+        return Math.min(nowMillis, (long) Math.floor(storeMillis + minOffsetMillis - driftMillis));
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreEra.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreEra.java
@@ -2,47 +2,51 @@
 
 import org.radishpass.routing.fleet.StorePosition;
 
-/** The era of the store as this router knows it, from any answer of the store or from a peer. Belongs to the control thread. */
+/**
+ * Tracks the store's era, which increases with each restore, as reported by the store or by peers. Confined to the
+ * control thread.
+ */
 final class StoreEra {
     private static final long UNKNOWN = -1;
 
-    private long first = UNKNOWN;
+    private long firstKnown = UNKNOWN;
     private long latest = UNKNOWN;
 
     /**
-     * Takes an era that the store or a peer has told.
+     * Applies an era that the store or a peer reported.
      *
-     * @param era the era
-     * @return whether the store was restored since this router knew its era last
+     * @param era the reported era
+     * @return whether the store was restored since this router last knew its era
      */
-    boolean told(long era) {
+    boolean observed(long era) {
         if (era <= latest) {
             return false;
         }
         boolean restored = latest != UNKNOWN;
         latest = era;
-        first = restored ? first : era;
+        firstKnown = restored ? firstKnown : era;
         return restored;
     }
 
-    /** Returns the latest era that is known; -1 before the first. */
+    /** Returns the latest known era; -1 before the first one. */
     long latest() {
         return latest;
     }
 
-    /** Returns the era to tell peers. */
+    /** Returns the era to send to peers; {@link StorePosition#NO_ERA} if unknown. */
     long toTell() {
         return Math.max(StorePosition.NO_ERA, latest);
     }
 
     /**
-     * Returns the era of what a router of an earlier release tells: it tells none. While this router has seen no restore it is the same as its own; after one the
-     * other may rely on readings of before.
+     * Returns the era of a statement by a peer. Routers of earlier releases send no era. While this router has not seen
+     * a restore, such a statement belongs to the current era. After a restore it does not, since the peer may rely on
+     * reads from before.
      *
-     * @param told the era that was told
+     * @param sentEra the era that the peer sent, or {@link StorePosition#NO_ERA}
      */
-    long resolved(long told) {
-        boolean untold = told == StorePosition.NO_ERA;
-        return untold && latest == first ? toTell() : told;
+    long resolved(long sentEra) {
+        boolean notSent = sentEra == StorePosition.NO_ERA;
+        return notSent && latest == firstKnown ? toTell() : sentEra;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
@@ -10,17 +10,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the configuration and the endpoint list in step with the store, as far as this router's {@link ReadingDuty} goes. Runs
- * on the control thread.
+ * Keeps the configuration and the endpoint list up to date with the store, as far as this router's {@link ReadingDuty}
+ * requires. Runs on the control thread.
  *
- * <p>The configuration is waited for ({@link ConfigurationFollower}), the list of endpoints is read at a fixed pace ({@link
- * ListFollower}). Each reading also tells the store's newest revision; if the wait has not come as far, it is checked apart.
+ * <p>The configuration is long-polled ({@link ConfigurationFollower}), and the endpoint list is read at a fixed
+ * interval ({@link EndpointListFollower}). Each read of the list also reveals the store's newest revision. If the long
+ * poll has not reached that revision, the configuration is requested separately.
  */
 final class StoreFollower {
     private static final Logger LOG = LoggerFactory.getLogger(StoreFollower.class);
 
-    /** Milliseconds between looks at this router's duty: a fraction of the time after which a list is stale. */
-    private static final long LOOK_MILLIS = 150;
+    /** Milliseconds between checks of this router's duty; a fraction of the time after which a list is stale. */
+    private static final long DUTY_CHECK_INTERVAL_MILLIS = 150;
 
     private final ControlThread thread;
     private final MonotonicClock clock;
@@ -30,8 +31,8 @@
     private final UnusableEntries unusable;
     private final StoreReadings readings;
     private final Listener listener;
-    private final ConfigurationFollower configurations;
-    private final ListFollower list;
+    private final ConfigurationFollower configurationFollower;
+    private final EndpointListFollower endpointListFollower;
 
     StoreFollower(
             ControlThread thread,
@@ -49,67 +50,67 @@
         this.unusable = unusable;
         this.readings = readings;
         this.listener = listener;
-        this.configurations = new ConfigurationFollower(thread, clock, source, new ConfigurationNews());
-        this.list = new ListFollower(thread, clock, source, new ListNews());
+        this.configurationFollower = new ConfigurationFollower(thread, clock, source, new ConfigurationListener());
+        this.endpointListFollower = new EndpointListFollower(thread, clock, source, new EndpointListListener());
     }
 
     void start() {
-        configurations.start();
-        list.start();
-        thread.every(Duration.ofMillis(LOOK_MILLIS), configurations::followIfDue);
+        configurationFollower.start();
+        endpointListFollower.start();
+        thread.every(Duration.ofMillis(DUTY_CHECK_INTERVAL_MILLIS), configurationFollower::pollIfResponsible);
     }
 
     /**
-     * The store was restored from a snapshot: what is known of it is read anew.
+     * Handles a restore of the store from a snapshot by reading the store again.
      *
-     * @param turn how long this router lets others read first
+     * @param turn how long this router waits so that other routers can read first
      */
     void storeRestored(Duration turn) {
-        configurations.storeRestored(turn);
+        configurationFollower.storeRestored(turn);
         if (turn.isZero()) {
-            list.readSoon();
+            endpointListFollower.readNowIfDue();
         }
     }
 
-    /** Tells whether the configuration and the list of endpoints are known, or on their way from the store. */
+    /** Tells whether the configuration and the endpoint list are known, or are being read from the store. */
     boolean arriving() {
-        boolean configurationComes = configuration.version() >= 0 || configurations.receiving();
-        return configurationComes && (directory.known() || !directory.trouble());
+        boolean configurationArriving = configuration.version() >= 0 || configurationFollower.receiving();
+        return configurationArriving && (directory.known() || !directory.lastReadFailed());
     }
 
-    /** Takes a document from the store or from a peer. */
+    /** Applies a configuration document from the store or from a peer. */
     void offer(byte[] content, String origin) {
-        long before = configuration.version();
+        long versionBefore = configuration.version();
         try {
             if (configuration.offer(content)) {
                 LOG.info(
                         "configuration {} is in force instead of {}, from {}",
                         configuration.version(),
-                        before,
+                        versionBefore,
                         origin,
                         LogEvent.CONFIGURATION.field(),
                         kv("version", configuration.version()));
                 listener.configurationChanged();
             }
         } catch (MalformedDocumentException e) {
-            LOG.error("a configuration from {} cannot be read; {} stays in force", origin, before, e);
+            LOG.error("cannot decode the configuration from {}; version {} stays in force", origin, versionBefore, e);
         }
     }
 
-    private void take(DirectoryReading.Listed listed, long askedAtMillis) {
+    private void applyEndpointList(DirectoryReading.Listed listed, long askedAtMillis) {
         storeClock.observed(askedAtMillis, clock.millis(), listed.storeMillis());
         listener.eraRead(listed.position().era());
-        if (directory.trouble()) {
-            LOG.info("the store answers again", LogEvent.STORE_BACK.field());
+        if (directory.lastReadFailed()) {
+            LOG.info("the store responds again", LogEvent.STORE_BACK.field());
             listener.storeBack();
         }
         readings.read(
-                directory.useOf(listed.position()),
+                directory.useOfRead(listed.position()),
                 listed.position(),
                 directory.reading().position());
         if (directory.listed(listed, askedAtMillis)) {
             LOG.info(
-                    "{} endpoints are listed",
+                    "the endpoint list has changed: the store lists {} endpoints",
                     listed.endpoints().size(),
                     LogEvent.ENDPOINTS.field(),
                     kv("position", listed.position().toString()),
@@ -119,33 +120,33 @@
         listener.directoryRead();
     }
 
-    /** Hears what the store has. */
-    private final class ConfigurationNews implements ConfigurationFollower.Listener {
+    /** Forwards results of configuration requests. */
+    private final class ConfigurationListener implements ConfigurationFollower.Listener {
         @Override
         public boolean readsConfiguration() {
             return listener.duty().readsConfiguration();
         }
 
         @Override
-        public void drains(DrainReading reading) {
+        public void drainsRead(DrainReading reading) {
             listener.drains(reading);
         }
 
         @Override
-        public void published(byte[] content) {
+        public void configurationRead(byte[] content) {
             offer(content, "store");
         }
 
         @Override
-        public void arrivalChanged() {
+        public void receivingChanged() {
             if (configuration.version() < 0) {
                 listener.arrivalChanged();
             }
         }
     }
 
-    /** Hears what came of readings of the list. */
-    private final class ListNews implements ListFollower.Listener {
+    /** Applies the results of endpoint-list reads. */
+    private final class EndpointListListener implements EndpointListFollower.Listener {
         @Override
         public boolean readsList() {
             return !directory.known() || listener.duty().readsDirectory();
@@ -153,40 +154,43 @@
 
         @Override
         public void listed(DirectoryReading.Listed listed, long askedAtMillis) {
-            take(listed, askedAtMillis);
-            configurations.check(listed.position());
+            applyEndpointList(listed, askedAtMillis);
+            configurationFollower.checkForNewer(listed.position());
         }
 
         @Override
         public void listUnavailable(String reason) {
-            if (directory.failed()) {
-                LOG.warn("the store does not answer: {}", reason, LogEvent.STORE_LOST.field());
+            if (directory.noteReadFailure()) {
+                LOG.warn(
+                        "cannot read the endpoint list from the store, retrying: {}",
+                        reason,
+                        LogEvent.STORE_LOST.field());
             }
-            configurations.restartWait();
+            configurationFollower.restartLongPoll();
         }
     }
 
-    /** Hears of what was read; called on the control thread. */
+    /** Receives changes of what was read from the store; called on the control thread. */
     interface Listener {
-        /** The first configuration is on its way, or is not any more. */
+        /** Called when the first configuration starts to arrive from the store, and when a request for it fails. */
         void arrivalChanged();
 
-        /** The store says this of data centres that are to get nothing new. */
+        /** Called with the data-centre drains that a response of the store reports. */
         void drains(DrainReading reading);
 
-        /** There is a newer configuration. */
+        /** Called when a newer configuration is in force. */
         void configurationChanged();
 
-        /** The endpoints have been read. */
+        /** Called after the endpoints have been read. */
         void directoryRead();
 
-        /** The store answers again. */
+        /** Called when the store responds again after a failed read. */
         void storeBack();
 
-        /** The store has answered in this era. */
+        /** Called with the era in which the store has responded. */
         void eraRead(long era);
 
-        /** Tells what this router has to read now. */
+        /** Returns what this router currently has to read from the store. */
         ReadingDuty duty();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadings.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadings.java
@@ -12,7 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs and counts what becomes of readings of the store, whose readings this router relies on, and the store's era. Belongs to the control thread.
+ * Logs and counts how reads of the endpoint list are used, which router's reads the list is based on, and restores of
+ * the store. Confined to the control thread.
  */
 final class StoreReadings {
     private static final Logger LOG = LoggerFactory.getLogger(StoreReadings.class);
@@ -20,7 +21,7 @@
     private final StoreEra era;
     private volatile long latestEra;
     private String source = "";
-    private int passedOver;
+    private int ignoredReads;
 
     StoreReadings(MeterRegistry metrics, StoreEra era) {
         this.metrics = metrics;
@@ -33,47 +34,47 @@
     }
 
     /**
-     * Takes an era that the store or a peer has told.
+     * Applies an era that the store or a peer reported, and logs a restore of the store.
      *
-     * @param told the era
-     * @param origin who told it
-     * @return whether the store was restored since this router knew its era last
+     * @param reportedEra the reported era
+     * @param origin the source of the report
+     * @return whether the store was restored since this router last knew its era
      */
-    boolean eraTold(long told, String origin) {
-        long before = era.latest();
-        boolean restored = era.told(told);
+    boolean eraTold(long reportedEra, String origin) {
+        long eraBefore = era.latest();
+        boolean restored = era.observed(reportedEra);
         latestEra = era.latest();
         if (restored) {
             LOG.warn(
                     "the store was restored from a snapshot: era {} instead of {}, from {}",
-                    told,
-                    before,
+                    reportedEra,
+                    eraBefore,
                     origin,
                     LogEvent.STORE_RESTORED.field(),
-                    kv("era", told),
+                    kv("era", reportedEra),
                     kv("source", origin));
         }
         return restored;
     }
 
     /**
-     * Takes a reading of the endpoints by this router.
+     * Counts a read of the endpoints by this router, and logs when reads start or cease to be ignored.
      *
-     * @param use what becomes of it
-     * @param read where in the store's history it was read
-     * @param known where the list was read that it may replace
+     * @param use how the read is used
+     * @param read the position in the store's history of the read
+     * @param known the position of the list that the read may replace
      */
-    void read(ReadingUse use, StorePosition read, StorePosition known) {
+    void read(ReadUse use, StorePosition read, StorePosition known) {
         Counter.builder("radishpass.store.readings")
                 .description("readings of the endpoints by this router, by what became of them")
                 .tag("use", use.label())
                 .register(metrics)
                 .increment();
-        if (use == ReadingUse.USED) {
-            usedAgain(read);
-        } else if (++passedOver == 1) {
+        if (use == ReadUse.USED) {
+            logReadsUsedAgain(read);
+        } else if (++ignoredReads == 1) {
             LOG.warn(
-                    "the endpoints as read at {} are not used: the list is of {}",
+                    "ignoring endpoints read at store position {}: the current list is from position {}",
                     read,
                     known,
                     LogEvent.READING_IGNORED.field(),
@@ -82,24 +83,24 @@
         }
     }
 
-    private void usedAgain(StorePosition read) {
-        if (passedOver > 0) {
+    private void logReadsUsedAgain(StorePosition read) {
+        if (ignoredReads > 0) {
             LOG.info(
-                    "the endpoints as read at {} are used, {} readings before were not",
+                    "using endpoints read at store position {} after {} ignored reads",
                     read,
-                    passedOver,
+                    ignoredReads,
                     LogEvent.READING_USED.field(),
                     kv("position", read.toString()),
-                    kv("ignored", passedOver));
-            passedOver = 0;
+                    kv("ignored", ignoredReads));
+            ignoredReads = 0;
         }
     }
 
-    /** Takes whose reading the list rests on now. */
+    /** Records on which router's reads the endpoint list is currently based, and logs a change. */
     void source(String current, ListReading reading) {
         if (!Objects.equals(source, current)) {
             LOG.info(
-                    "the list of endpoints is read by {} instead of {}",
+                    "the endpoint list is now read by {}, before by {}",
                     current,
                     source,
                     LogEvent.LIST_SOURCE.field(),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/UnusableEntries.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/UnusableEntries.java
@@ -12,14 +12,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The entries that name no endpoint to use: says so once when one appears, when its fault changes and when it is gone or mended, and
- * not at each reading. Belongs to the control thread.
+ * Reports entries of the endpoint list that do not describe a usable endpoint. An entry is reported once when it first
+ * appears, when its fault changes, and when it is removed or valid again, instead of at each read. Confined to the
+ * control thread.
  */
 final class UnusableEntries {
     private static final Logger LOG = LoggerFactory.getLogger(UnusableEntries.class);
 
-    /** Entries that are told of apart: a writer gone wild must not fill the log. Others are only counted. */
-    private static final int MOST_TOLD = 100;
+    /**
+     * Maximum number of entries with a report of their own, so that a faulty writer cannot fill the log. Further
+     * entries are not reported.
+     */
+    private static final int MAX_REPORTED_ENTRIES = 100;
 
     private final MeterRegistry metrics;
     private final Map<String, EntryFault> faults = new HashMap<>();
@@ -28,30 +32,30 @@
         this.metrics = metrics;
     }
 
-    /** Takes the unusable entries of a reading. */
+    /** Applies the unusable entries of a read and reports the changes. */
     void read(Collection<EndpointEntry.Unusable> entries) {
-        Map<String, EntryFault> before = new HashMap<>(faults);
+        Map<String, EntryFault> faultsBefore = new HashMap<>(faults);
         faults.clear();
         for (EndpointEntry.Unusable entry : entries) {
-            if (faults.size() < MOST_TOLD && entry.fault() != before.remove(entry.name())) {
-                tell(entry);
+            if (faults.size() < MAX_REPORTED_ENTRIES && entry.fault() != faultsBefore.remove(entry.name())) {
+                report(entry);
             }
             faults.put(entry.name(), entry.fault());
         }
-        before.keySet().stream()
+        faultsBefore.keySet().stream()
                 .filter(name -> !faults.containsKey(name))
-                .forEach(name ->
-                        LOG.info("entry {} is gone, or names an endpoint again", name, LogEvent.ENTRY_MENDED.field()));
+                .forEach(name -> LOG.info(
+                        "unusable entry {} was removed or is valid again", name, LogEvent.ENTRY_MENDED.field()));
     }
 
-    private void tell(EndpointEntry.Unusable entry) {
+    private void report(EndpointEntry.Unusable entry) {
         Counter.builder("radishpass.entries.unusable")
                 .description("entries of the list of endpoints that became unusable, by fault")
                 .tag("fault", entry.fault().label())
                 .register(metrics)
                 .increment();
         LOG.warn(
-                "entry {} names no endpoint to use: {}: {}",
+                "ignoring entry {} of the endpoint list: {}: {}",
                 entry.name(),
                 entry.fault().meaning(),
                 entry.detail(),
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
@@ -17,7 +17,10 @@
 import org.radishpass.routing.fleet.DataCentreDrain;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** Checks which endpoints are taken to be cold, and until when. The store's clock is ahead of the router's by a fixed time. */
+/**
+ * Checks which endpoints are treated as cold, and until when. The store's clock is ahead of the router's clock by a
+ * fixed time.
+ */
 final class ColdEndpointsTest {
     private static final DataCentre HERE = new DataCentre("here");
     private static final long COLD_MILLIS = 3_000;
@@ -34,21 +37,24 @@
     private long revision;
 
     @Test
-    void anEntryThatSaysHowLongIsBelieved() {
+    void coldPeriodOfAnEntryIsUsed() {
         read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500), endpoint("warm", "s"));
         assertThat(cold.untilMillis(CONFIGURATION, 1_000)).containsExactly("e", 3_500L);
-        assertThat(cold.untilMillis(CONFIGURATION, 3_502)).isEmpty(); // clocks drift apart by 0.5 ms in 2.5 s
+        assertThat(cold.untilMillis(CONFIGURATION, 3_502)).isEmpty(); // the clocks drift apart by up to 0.5 ms in 2.5 s
     }
 
     @Test
-    void endpointsOfServicesThatBearTheSameFromTheirStartOnAreNotCold() {
+    void endpointsOfServicesWithoutColdStartAreNeverCold() {
         read(1_000, endpoint("e", "plain").coldUntil(STORE_AHEAD_MILLIS + 3_500));
         assertThat(cold.untilMillis(CONFIGURATION, 1_000)).isEmpty();
     }
 
-    /** An entry holds what was left when it was renewed last, so that the end seems to move by up to a renewal. */
+    /**
+     * Guards against a cold end that shifts with each read by up to one renewal period: an entry states the time left
+     * as of its last renewal.
+     */
     @Test
-    void theEndOfAColdSpellDoesNotMoveWithEachReading() {
+    void coldEndIsStableAcrossReads() {
         read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500));
         long hash = directory.hash();
         read(1_850, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 4_350));
@@ -57,42 +63,43 @@
     }
 
     @Test
-    void anEndpointThatBecomesColdAgainIsNoticedAndTold() {
+    void newColdPeriodIsDetectedAndChangesTheHash() {
         read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500));
         read(5_000, endpoint("e", "s"));
-        long warm = directory.hash();
+        long warmHash = directory.hash();
         read(9_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 11_000));
         assertThat(cold.untilMillis(CONFIGURATION, 9_000)).containsExactly("e", 11_000L);
-        assertThat(directory.hash()).isNotEqualTo(warm);
+        assertThat(directory.hash()).isNotEqualTo(warmHash);
     }
 
     @Test
-    void afterADrainEndpointsAreColdUntilAReadingHadTheTimeToTell() {
+    void endpointsOfAReturnedDataCentreAreColdUntilEntriesCanBeUpToDate() {
         read(1_000, endpoint("e", "s"));
         drains.offer(new DataCentreDrain(HERE, at(5), true), 1_000);
         drains.offer(new DataCentreDrain(HERE, at(6), false), 2_000);
         assertThat(cold.untilMillis(CONFIGURATION, 2_000)).containsKey("e");
         read(3_400, endpoint("e", "s"));
         assertThat(cold.untilMillis(CONFIGURATION, 3_400)).containsKey("e");
-        read(2_000 + ColdEndpoints.ENTRY_LAG_MILLIS, endpoint("e", "s"));
+        read(2_000 + ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS, endpoint("e", "s"));
         assertThat(cold.untilMillis(CONFIGURATION, 3_600)).isEmpty();
     }
 
     @Test
-    void withoutReadingsEndpointsOfADrainAreColdForAWholeSpell() {
+    void endpointsOfAReturnedDataCentreAreColdForAFullColdStartWithoutReads() {
         read(1_000, endpoint("e", "s"));
         drains.offer(new DataCentreDrain(HERE, at(6), false), 2_000);
-        long until = 2_000 + ColdEndpoints.ENTRY_LAG_MILLIS + COLD_MILLIS;
-        assertThat(cold.untilMillis(CONFIGURATION, 5_000)).isEqualTo(Map.of("e", until));
-        assertThat(cold.untilMillis(CONFIGURATION, until)).isEmpty();
+        long coldUntilMillis = 2_000 + ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS + COLD_MILLIS;
+        assertThat(cold.untilMillis(CONFIGURATION, 5_000)).isEqualTo(Map.of("e", coldUntilMillis));
+        assertThat(cold.untilMillis(CONFIGURATION, coldUntilMillis)).isEmpty();
     }
 
     @Test
-    void peersAreToldHowLongEndpointsAreCold() throws IOException {
-        ServiceEndpoint told = endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500);
-        EndpointSnapshot list = new EndpointSnapshot(new ListReading(at(3), 51_000, true), List.of(told), Set.of());
+    void coldEndIsSentToPeers() throws IOException {
+        ServiceEndpoint coldEndpoint = endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500);
+        EndpointSnapshot list =
+                new EndpointSnapshot(new ListReading(at(3), 51_000, true), List.of(coldEndpoint), Set.of());
         assertThat(EndpointListCodec.decode(EndpointListCodec.encode(list)).endpoints())
-                .containsExactly(told);
+                .containsExactly(coldEndpoint);
     }
 
     private void read(long nowMillis, ServiceEndpoint... endpoints) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
@@ -22,277 +22,282 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Checks what a router asks of the store for configurations, and when.
+ * Checks which requests for configurations a router sends to the store, and when.
  *
- * <p>Seen: while a document of 500 KB came, readings of the list failed beside it on the same link, and each began the wait for the
- * configuration anew; a router that was behind read each version that it had missed.
+ * <p>Guards against two failures. While a document of 500 KB was being received, reads of the endpoint list on the same
+ * link failed, and each failure restarted the request for the configuration. A router that was behind received every
+ * version that it had missed.
  */
 final class ConfigurationFollowerTest {
-    private static final long WHOLE_BYTES = 100_000;
-    private static final Duration MOMENT = Duration.ofMillis(1);
+    private static final long DOCUMENT_BYTES = 100_000;
+    private static final Duration ONE_MILLISECOND = Duration.ofMillis(1);
 
-    private final VirtualScheduler time = new VirtualScheduler();
-    private final Source source = new Source();
+    private final VirtualScheduler scheduler = new VirtualScheduler();
+    private final ManualSource source = new ManualSource();
     private final List<String> published = new ArrayList<>();
     private final ConfigurationFollower follower =
-            new ConfigurationFollower(new ControlThread(time), time::millis, source, new Listener());
+            new ConfigurationFollower(new ControlThread(scheduler), scheduler::millis, source, new RecordingListener());
     private boolean readsConfiguration = true;
 
     @Test
-    void theConfigurationIsReadWholeFirstAndThenWaitedFor() {
-        startAndReadWhole();
+    void fullReadIsFollowedByALongPoll() {
+        startAndReadFull();
 
         assertThat(published).containsExactly("1");
-        assertThat(source.next().whole).isFalse();
+        assertThat(source.next().full).isFalse();
     }
 
     @Test
-    void anAnswerOfSeveralVersionsIsBrokenOffAndTheNewestReadAlone() {
-        startAndReadWhole();
-        Call wait = source.next();
+    void responseWithSeveralVersionsIsCancelledAndOnlyTheNewestIsRead() {
+        startAndReadFull();
+        Request longPoll = source.next();
 
-        begins(wait, 3 * WHOLE_BYTES);
+        startResponse(longPoll, 3 * DOCUMENT_BYTES);
 
-        assertThat(wait.cancelled).isTrue();
-        assertThat(source.next().whole).isTrue();
+        assertThat(longPoll.cancelled).isTrue();
+        assertThat(source.next().full).isTrue();
     }
 
     @Test
-    void aWaitThatIsNotThisRoutersDutyAnyMoreEnds() {
-        startAndReadWhole();
-        Call first = source.next();
+    void longPollEndsWhenTheRouterIsNoLongerResponsible() {
+        startAndReadFull();
+        Request first = source.next();
         readsConfiguration = false;
-        follower.followIfDue();
+        follower.pollIfResponsible();
         assertThat(first.cancelled).isFalse();
         readsConfiguration = true;
-        answers(first, 8, "2");
-        Call wait = source.next();
+        respond(first, 8, "2");
+        Request longPoll = source.next();
 
         readsConfiguration = false;
-        follower.followIfDue();
-        assertThat(wait.cancelled).isTrue();
+        follower.pollIfResponsible();
+        assertThat(longPoll.cancelled).isTrue();
 
         readsConfiguration = true;
-        follower.followIfDue();
-        assertThat(source.next().whole).isFalse();
+        follower.pollIfResponsible();
+        assertThat(source.next().full).isFalse();
     }
 
     @Test
-    void whereTheWholeDocumentCameSlowlyTheFirstWaitEndsToo() {
+    void firstLongPollAfterASlowFullReadEndsWithTheResponsibility() {
         follower.start();
-        time.pass(MOMENT);
-        Call whole = source.next();
-        begins(whole, WHOLE_BYTES);
-        time.pass(Duration.ofMillis(500));
-        answers(whole, 7, "1");
-        Call first = source.next();
+        scheduler.pass(ONE_MILLISECOND);
+        Request fullRead = source.next();
+        startResponse(fullRead, DOCUMENT_BYTES);
+        scheduler.pass(Duration.ofMillis(500));
+        respond(fullRead, 7, "1");
+        Request first = source.next();
 
         readsConfiguration = false;
-        follower.followIfDue();
+        follower.pollIfResponsible();
         assertThat(first.cancelled).isTrue();
     }
 
     @Test
-    void anAnswerThatComesIsTakenAlthoughItIsNotThisRoutersDutyAnyMore() {
-        startAndReadWhole();
-        Call wait = source.next();
-        begins(wait, WHOLE_BYTES);
+    void responseInProgressContinuesWhenTheRouterIsNoLongerResponsible() {
+        startAndReadFull();
+        Request longPoll = source.next();
+        startResponse(longPoll, DOCUMENT_BYTES);
 
         readsConfiguration = false;
-        follower.followIfDue();
-        assertThat(wait.cancelled).isFalse();
+        follower.pollIfResponsible();
+        assertThat(longPoll.cancelled).isFalse();
     }
 
     @Test
-    void anAnswerOfOneVersionIsTaken() {
-        startAndReadWhole();
-        Call wait = source.next();
+    void responseWithOneVersionIsApplied() {
+        startAndReadFull();
+        Request longPoll = source.next();
 
-        begins(wait, WHOLE_BYTES + 1_000);
-        answers(wait, 8, "2");
+        startResponse(longPoll, DOCUMENT_BYTES + 1_000);
+        respond(longPoll, 8, "2");
 
-        assertThat(wait.cancelled).isFalse();
+        assertThat(longPoll.cancelled).isFalse();
         assertThat(published).containsExactly("1", "2").inOrder();
     }
 
     @Test
-    void aWaitIsBegunAnewOnlyWhileNothingComes() {
-        startAndReadWhole();
-        Call wait = source.next();
-
-        follower.restartWait();
-        assertThat(wait.cancelled).isTrue();
-        Call anew = source.next();
-        begins(anew, WHOLE_BYTES);
-        follower.restartWait();
-
-        assertThat(anew.cancelled).isFalse();
-        assertThat(source.calls).isEmpty();
+    void longPollIsRestartedOnlyBeforeAResponseStarts() {
+        startAndReadFull();
+        Request longPoll = source.next();
+
+        follower.restartLongPoll();
+        assertThat(longPoll.cancelled).isTrue();
+        Request restartedPoll = source.next();
+        startResponse(restartedPoll, DOCUMENT_BYTES);
+        follower.restartLongPoll();
+
+        assertThat(restartedPoll.cancelled).isFalse();
+        assertThat(source.requests).isEmpty();
     }
 
     @Test
-    void aRisenRevisionIsCheckedOnceAndOnlyWhileNothingComes() {
-        startAndReadWhole();
-        Call wait = source.next();
-        follower.check(at(9));
-        follower.check(at(10));
-        assertThat(source.calls).hasSize(1);
-        answers(source.next(), 10, "2");
+    void higherRevisionIsCheckedOnceAndOnlyBeforeAResponseStarts() {
+        startAndReadFull();
+        Request longPoll = source.next();
+        follower.checkForNewer(at(9));
+        follower.checkForNewer(at(10));
+        assertThat(source.requests).hasSize(1);
+        respond(source.next(), 10, "2");
         assertThat(published).containsExactly("1", "2").inOrder();
 
-        begins(wait, WHOLE_BYTES);
-        follower.check(at(11));
-        assertThat(source.calls).isEmpty();
+        startResponse(longPoll, DOCUMENT_BYTES);
+        follower.checkForNewer(at(11));
+        assertThat(source.requests).isEmpty();
     }
 
     @Test
-    void aLostHistoryIsReadWhole() {
-        startAndReadWhole();
+    void lostHistoryCausesAFullRead() {
+        startAndReadFull();
 
         source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
-        time.pass(MOMENT);
+        scheduler.pass(ONE_MILLISECOND);
 
-        assertThat(source.next().whole).isTrue();
+        assertThat(source.next().full).isTrue();
     }
 
-    /** Guards against a wait for changes after a revision that a restored store has not reached, or has given out again. */
+    /**
+     * Guards against a long poll after a revision that a restored store has not reached, or has assigned again to
+     * another change.
+     */
     @Test
-    void aRestoreOfTheStoreEndsAWaitAndAllIsReadWhole() {
-        startAndReadWhole();
-        Call wait = source.next();
+    void restoreOfTheStoreEndsTheLongPollAndCausesAFullRead() {
+        startAndReadFull();
+        Request longPoll = source.next();
 
         follower.storeRestored(Duration.ZERO);
-        time.pass(MOMENT);
+        scheduler.pass(ONE_MILLISECOND);
 
-        assertThat(wait.cancelled).isTrue();
-        Call whole = source.next();
-        assertThat(whole.whole).isTrue();
-        answers(whole, new StorePosition(2, 3), "2");
+        assertThat(longPoll.cancelled).isTrue();
+        Request fullRead = source.next();
+        assertThat(fullRead.full).isTrue();
+        respond(fullRead, new StorePosition(2, 3), "2");
         assertThat(source.next().after).isEqualTo(new StorePosition(2, 3));
         assertThat(published).containsExactly("1", "2").inOrder();
     }
 
     @Test
-    void aRouterWhoseTurnIsLaterLetsOthersReadARestoredStoreFirst() {
-        startAndReadWhole();
+    void routerWithALaterTurnLetsOthersReadARestoredStoreFirst() {
+        startAndReadFull();
         source.next();
 
         follower.storeRestored(Duration.ofSeconds(1));
-        time.pass(Duration.ofMillis(999));
-        assertThat(source.calls).isEmpty();
+        scheduler.pass(Duration.ofMillis(999));
+        assertThat(source.requests).isEmpty();
         readsConfiguration = false;
-        time.pass(Duration.ofSeconds(3));
+        scheduler.pass(Duration.ofSeconds(3));
 
-        assertThat(source.calls).isEmpty();
+        assertThat(source.requests).isEmpty();
     }
 
-    /** Guards against a storm of calls: 77 of the whole configuration in a second at one router. */
+    /** Guards against a burst of 77 full reads within a second by one router. */
     @Test
-    void aHistoryThatIsLostAgainAndAgainIsAskedForWithPauses() {
-        startAndReadWhole();
-        int wholes = 0;
-        long endMillis = time.millis() + 2_000;
-        while (time.millis() < endMillis) {
-            Call call = source.calls.poll();
-            if (call == null) {
-                time.pass(MOMENT);
-            } else if (call.whole) {
-                wholes++;
-                answers(call, 7, "1");
+    void repeatedlyLostHistoryIsReadWithPauses() {
+        startAndReadFull();
+        int fullReads = 0;
+        long endMillis = scheduler.millis() + 2_000;
+        while (scheduler.millis() < endMillis) {
+            Request request = source.requests.poll();
+            if (request == null) {
+                scheduler.pass(ONE_MILLISECOND);
+            } else if (request.full) {
+                fullReads++;
+                respond(request, 7, "1");
             } else {
-                call.result.tryEmitValue(new ConfigurationReading.HistoryLost());
-                time.pass(MOMENT);
+                request.result.tryEmitValue(new ConfigurationReading.HistoryLost());
+                scheduler.pass(ONE_MILLISECOND);
             }
         }
-        assertThat(wholes).isAtMost(7);
+        assertThat(fullReads).isAtMost(7);
     }
 
     @Test
-    void aHistoryThatACheckFindsLostIsReadWholeAtOnce() {
-        startAndReadWhole();
-        Call wait = source.next();
-        follower.check(new StorePosition(2, 1));
+    void historyFoundLostByACheckCausesAnImmediateFullRead() {
+        startAndReadFull();
+        Request longPoll = source.next();
+        follower.checkForNewer(new StorePosition(2, 1));
         source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
-        time.pass(MOMENT);
-        assertThat(wait.cancelled).isTrue();
-        assertThat(source.next().whole).isTrue();
+        scheduler.pass(ONE_MILLISECOND);
+        assertThat(longPoll.cancelled).isTrue();
+        assertThat(source.next().full).isTrue();
     }
 
     @Test
-    void nothingIsWaitedForWithoutTheDuty() {
+    void noLongPollIsSentWithoutResponsibility() {
         readsConfiguration = false;
-        startAndReadWhole();
+        startAndReadFull();
 
-        follower.followIfDue();
+        follower.pollIfResponsible();
 
-        assertThat(source.calls).isEmpty();
+        assertThat(source.requests).isEmpty();
     }
 
-    private void startAndReadWhole() {
+    private void startAndReadFull() {
         follower.start();
-        time.pass(MOMENT);
-        Call first = source.next();
-        assertThat(first.whole).isTrue();
-        begins(first, WHOLE_BYTES);
-        answers(first, 7, "1");
+        scheduler.pass(ONE_MILLISECOND);
+        Request first = source.next();
+        assertThat(first.full).isTrue();
+        startResponse(first, DOCUMENT_BYTES);
+        respond(first, 7, "1");
     }
 
-    private void begins(Call call, long bytes) {
-        call.begun.accept(bytes);
-        time.pass(MOMENT);
+    private void startResponse(Request request, long bytes) {
+        request.responseStarted.accept(bytes);
+        scheduler.pass(ONE_MILLISECOND);
     }
 
-    private void answers(Call call, long revision, String content) {
-        answers(call, at(revision), content);
+    private void respond(Request request, long revision, String content) {
+        respond(request, at(revision), content);
     }
 
-    private void answers(Call call, StorePosition position, String content) {
-        call.result.tryEmitValue(
+    private void respond(Request request, StorePosition position, String content) {
+        request.result.tryEmitValue(
                 new ConfigurationReading.Published(position, content.getBytes(StandardCharsets.UTF_8)));
-        time.pass(MOMENT);
+        scheduler.pass(ONE_MILLISECOND);
     }
 
-    /** A question to the store. */
-    private static final class Call {
-        private final boolean whole;
+    /** A request to the store. */
+    private static final class Request {
+        private final boolean full;
         private final StorePosition after;
-        private final LongConsumer begun;
+        private final LongConsumer responseStarted;
         private final Sinks.One<ConfigurationReading> result = Sinks.one();
         private boolean cancelled;
 
-        private Call(boolean whole, StorePosition after, LongConsumer begun) {
-            this.whole = whole;
+        private Request(boolean full, StorePosition after, LongConsumer onResponseStart) {
+            this.full = full;
             this.after = after;
-            this.begun = begun;
+            this.responseStarted = onResponseStart;
         }
 
-        private Mono<ConfigurationReading> answer() {
+        private Mono<ConfigurationReading> response() {
             return result.asMono().doOnCancel(() -> cancelled = true);
         }
     }
 
-    /** A store that answers when the test says so. */
-    private static final class Source implements ControlSource {
-        private final Deque<Call> calls = new ArrayDeque<>();
+    /** A store that responds when the test says so. */
+    private static final class ManualSource implements ControlSource {
+        private final Deque<Request> requests = new ArrayDeque<>();
 
-        private Call next() {
-            return calls.remove();
+        private Request next() {
+            return requests.remove();
         }
 
-        private Mono<ConfigurationReading> call(boolean whole, StorePosition after, LongConsumer begun) {
-            Call call = new Call(whole, after, begun);
-            calls.add(call);
-            return call.answer();
+        private Mono<ConfigurationReading> send(boolean full, StorePosition after, LongConsumer onResponseStart) {
+            Request request = new Request(full, after, onResponseStart);
+            requests.add(request);
+            return request.response();
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer begun) {
-            return call(true, StorePosition.NONE, begun);
+        public Mono<ConfigurationReading> configuration(LongConsumer onResponseStart) {
+            return send(true, StorePosition.NONE, onResponseStart);
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(StorePosition after, Duration wait, LongConsumer begun) {
-            return call(false, after, begun);
+        public Mono<ConfigurationReading> configurationAfter(
+                StorePosition after, Duration wait, LongConsumer onResponseStart) {
+            return send(false, after, onResponseStart);
         }
 
         @Override
@@ -331,25 +336,25 @@
         }
     }
 
-    /** Notes what is published. */
-    private final class Listener implements ConfigurationFollower.Listener {
+    /** Records the configurations that were read. */
+    private final class RecordingListener implements ConfigurationFollower.Listener {
         @Override
         public boolean readsConfiguration() {
             return readsConfiguration;
         }
 
         @Override
-        public void arrivalChanged() {
-            // of no interest here
+        public void receivingChanged() {
+            // irrelevant to these tests
         }
 
         @Override
-        public void drains(DrainReading reading) {
-            // of no interest here
+        public void drainsRead(DrainReading reading) {
+            // irrelevant to these tests
         }
 
         @Override
-        public void published(byte[] content) {
+        public void configurationRead(byte[] content) {
             published.add(new String(content, StandardCharsets.UTF_8));
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationTrackerTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.config.RoutingConfiguration;
 
-/** Checks that a configuration never goes back, whoever offers one. */
+/** Checks that the configuration in force never returns to an earlier version, whichever source offers one. */
 final class ConfigurationTrackerTest {
     private final ConfigurationTracker tracker = new ConfigurationTracker(ConfigurationTrackerTest::decode);
 
     @Test
-    void onlyAHigherVersionComesIntoForce() {
+    void onlyAHigherVersionIsPutInForce() {
         assertThat(tracker.version()).isEqualTo(-1);
         assertThat(tracker.offer(document("7"))).isTrue();
         assertThat(tracker.offer(document("7"))).isFalse();
@@ -23,24 +23,24 @@
     }
 
     @Test
-    void oneThatCannotBeReadChangesNothing() {
+    void malformedDocumentChangesNothing() {
         tracker.offer(document("7"));
         assertThrows(MalformedDocumentException.class, () -> tracker.offer(document("x")));
         assertThat(tracker.version()).isEqualTo(7);
     }
 
     @Test
-    void aNewerOneThatWasHeardOfIsExpectedUntilItIsInForce() {
+    void announcedNewerVersionIsExpectedUntilItIsInForce() {
         tracker.offer(document("7"));
         assertThat(tracker.heardOf(7, 1_000)).isFalse();
         assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(Long.MIN_VALUE);
         assertThat(tracker.heardOf(9, 1_000)).isTrue();
-        long until = tracker.newerExpectedUntilMillis();
-        assertThat(until).isGreaterThan(1_000);
+        long untilMillis = tracker.newerExpectedUntilMillis();
+        assertThat(untilMillis).isGreaterThan(1_000);
         assertThat(tracker.heardOf(9, 5_000)).isFalse();
-        assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(until);
+        assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(untilMillis);
         tracker.offer(document("8"));
-        assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(until);
+        assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(untilMillis);
         tracker.offer(document("9"));
         assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(Long.MIN_VALUE);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -15,31 +15,31 @@
 import org.radishpass.routing.fleet.StorePosition;
 
 /**
- * What several routers believe of the endpoints, with a store, messages and a clock that a test moves by hand: no network, no
- * threads. Messages are delivered when the test says so, however long after they were written.
+ * Simulates the endpoint lists of several routers, with a store, messages and a clock that the test controls, without a
+ * network and without threads. Messages are delivered when the test says so, however long after they were written.
  */
 final class DirectoryFleet {
     private static final String SERVICE = "orders";
     private static final long STORE_CLOCK_OFFSET_MILLIS = 7_000_000;
 
     private final Map<String, ServiceEndpoint> registered = new LinkedHashMap<>();
-    private final List<EndpointEntry.Unusable> spoilt = new ArrayList<>();
+    private final List<EndpointEntry.Unusable> corrupted = new ArrayList<>();
     private long nowMillis = 100_000;
     private long era = 1;
     private long revision = 1;
 
-    /** Lets time pass. */
-    void pass(long millis) {
+    /** Advances the clock. */
+    void advance(long millis) {
         nowMillis += millis;
     }
 
-    /** An endpoint registers itself. */
+    /** Registers an endpoint without a start time. */
     void register(String id) {
         register(endpoint(id));
     }
 
-    /** An endpoint registers itself that says when it started. */
-    void start(String name, long startedAtMillis) {
+    /** Registers an incarnation of an endpoint, with its start time. */
+    void registerIncarnation(String name, long startedAtMillis) {
         register(endpoint(name).startedAs(new Incarnation(startedAtMillis)));
     }
 
@@ -53,35 +53,35 @@
         return registered.containsKey(name);
     }
 
-    /** An endpoint says that it leaves. */
-    void leave(String name) {
+    /** Marks an endpoint's registration as leaving. */
+    void markLeaving(String name) {
         revision++;
         registered.computeIfPresent(name, (key, endpoint) -> endpoint.asLeaving());
     }
 
-    /** The store's rows and revision of now, to be restored later. */
+    /** Returns the store's rows and revision, to be restored later. */
     Snapshot snapshot() {
-        return new Snapshot(revision, new LinkedHashMap<>(registered), List.copyOf(spoilt));
+        return new Snapshot(revision, new LinkedHashMap<>(registered), List.copyOf(corrupted));
     }
 
-    /** The store is restored from a snapshot: its revisions are given out again. */
+    /** Restores the store from a snapshot and starts a new era, so that revisions are assigned again. */
     void restore(Snapshot from) {
         era++;
         revision = from.revision();
         registered.clear();
         registered.putAll(from.registered());
-        spoilt.clear();
-        spoilt.addAll(from.spoilt());
+        corrupted.clear();
+        corrupted.addAll(from.corrupted());
     }
 
-    /** What the store held at some moment. */
-    record Snapshot(long revision, Map<String, ServiceEndpoint> registered, List<EndpointEntry.Unusable> spoilt) {}
+    /** The content of the store at some moment. */
+    record Snapshot(long revision, Map<String, ServiceEndpoint> registered, List<EndpointEntry.Unusable> corrupted) {}
 
-    /** What another writer put in the place of an entry cannot be used. */
-    void spoil(String name) {
+    /** Replaces an endpoint's registration by an entry that cannot be decoded. */
+    void corrupt(String name) {
         revision++;
         if (registered.remove(name) != null) {
-            spoilt.add(new EndpointEntry.Unusable(name, EntryFault.SYNTAX, "spoilt"));
+            corrupted.add(new EndpointEntry.Unusable(name, EntryFault.SYNTAX, "corrupted"));
         }
     }
 
@@ -89,22 +89,22 @@
         return new ServiceEndpoint(name, SERVICE, new Address("10.0.0.1", 80), new DataCentre("here"), 6, false);
     }
 
-    /** An endpoint's registration is removed, without a word of leaving before. */
+    /** Removes an endpoint's registration without marking it as leaving first. */
     void remove(String id) {
         revision++;
         registered.remove(id);
     }
 
-    /** Adds a router; they are asked to read the store in the order of their numbers. */
-    Member router(int number) {
-        return new Member(new Address("10.0.1." + number, 7_340));
+    /** Adds a router. Routers with lower numbers become responsible for reading the store first. */
+    Router router(int number) {
+        return new Router(new Address("10.0.1." + number, 7_340));
     }
 
-    /** A message, as it was written. */
-    record News(Member from, RoutingMessage.RoutingState state) {}
+    /** A message with the sender's state at the time of writing. */
+    record Message(Router sender, RoutingMessage.RoutingState state) {}
 
-    /** One router. The store's clock shows something else than the routers'. */
-    final class Member {
+    /** A router whose clock differs from the store's clock. */
+    final class Router {
         private final FleetRouter router;
         private final DirectoryTracker tracker = new DirectoryTracker();
         private final StoreClock storeClock = new StoreClock();
@@ -112,14 +112,14 @@
         private final StoreEra storeEra = new StoreEra();
         private final ReaderChoice readers;
 
-        private Member(Address address) {
+        private Router(Address address) {
             this.router = FleetRouter.unlocated(address);
             this.peers = new PeerBook(router);
             this.readers = new ReaderChoice(() -> nowMillis, router, peers, tracker, storeClock);
         }
 
-        /** Reads the store. */
-        void reads() {
+        /** Reads the store successfully. */
+        void readStore() {
             long storeMillis = nowMillis - STORE_CLOCK_OFFSET_MILLIS;
             storeClock.observed(nowMillis, nowMillis, storeMillis);
             tracker.listed(
@@ -127,24 +127,24 @@
                             new StorePosition(era, revision),
                             storeMillis,
                             List.copyOf(registered.values()),
-                            List.copyOf(spoilt)),
+                            List.copyOf(corrupted)),
                     nowMillis);
         }
 
-        /** Tries to read the store, in vain. */
-        void cannotRead() {
-            tracker.failed();
+        /** Fails to read the store. */
+        void failToReadStore() {
+            tracker.noteReadFailure();
         }
 
-        /** Is told by an endpoint, in an answer, that it leaves. */
-        void answeredLeaving(String endpointId) {
+        /** Receives a response in which an endpoint states that it is leaving. */
+        void receiveLeavingResponse(String endpointId) {
             tracker.statedLeaving(endpointId);
         }
 
-        /** Writes a message to its peers. */
-        News tells() {
+        /** Writes a message to the router's peers. */
+        Message writeMessage() {
             ListReading reading = tracker.reading();
-            return new News(
+            return new Message(
                     this,
                     new RoutingMessage.RoutingState(
                             1,
@@ -162,45 +162,45 @@
                             reading.position().era()));
         }
 
-        /** Takes a message, and the sender's list where it has a newer one. */
-        void hears(News news) {
-            peers.learn(List.of(news.from().router), nowMillis);
-            Peer peer = peers.find(news.from().router.id()).orElseThrow();
-            peer.told(news.state(), PeerStates.reading(news.state(), storeEra), nowMillis);
-            news.state().leaving().forEach(tracker::statedLeaving);
-            ListReading told = peer.listReading();
-            if (news.state().directoryHash() == tracker.hash()) {
-                tracker.confirmed(told, storeClock.earliest(told.storeMillis(), nowMillis), peer.id());
+        /** Receives a message, and the sender's list if that is newer. */
+        void receive(Message message) {
+            peers.learn(List.of(message.sender().router), nowMillis);
+            Peer peer = peers.find(message.sender().router.id()).orElseThrow();
+            peer.told(message.state(), PeerStates.reading(message.state(), storeEra), nowMillis);
+            message.state().leaving().forEach(tracker::statedLeaving);
+            ListReading peerReading = peer.listReading();
+            if (message.state().directoryHash() == tracker.hash()) {
+                tracker.confirmed(peerReading, storeClock.earliest(peerReading.storeMillis(), nowMillis), peer.id());
             } else {
-                EndpointSnapshot list = news.from().tracker.snapshot();
+                EndpointSnapshot list = message.sender().tracker.snapshot();
                 long readAtMillis = storeClock.earliest(list.reading().storeMillis(), nowMillis);
                 tracker.peerListed(list, readAtMillis, peer.id());
             }
         }
 
-        /** Tells whether it has to read the store now, as far as it believes. */
-        boolean mustRead() {
+        /** Tells whether the router considers itself responsible for reading the store. */
+        boolean mustReadStore() {
             return readers.duty(true).readsDirectory();
         }
 
-        /** Returns the starts that requests may be placed at. */
-        List<String> serving() {
+        /** Returns the ids of the incarnations that may receive requests. */
+        List<String> servingIds() {
             return tracker.directory().open(SERVICE).stream()
                     .map(ServiceEndpoint::id)
                     .toList();
         }
 
-        /** Returns the list as it is told to peers, through the bytes between them. */
-        EndpointSnapshot told() throws IOException {
+        /** Returns the list as peers receive it, after encoding and decoding. */
+        EndpointSnapshot decodedSnapshot() throws IOException {
             return EndpointListCodec.decode(EndpointListCodec.encode(tracker.snapshot()));
         }
 
-        /** Takes a list that was written at some time before. */
-        void takes(EndpointSnapshot list) {
+        /** Applies a peer's list that may have been written earlier. */
+        void receiveList(EndpointSnapshot list) {
             tracker.peerListed(list, storeClock.earliest(list.reading().storeMillis(), nowMillis), "peer");
         }
 
-        /** Tells whether a request may be placed at an endpoint. */
+        /** Tells whether an incarnation may receive requests. */
         boolean sendsTo(String endpointId) {
             return tracker.directory().open(SERVICE).stream()
                     .anyMatch(endpoint -> endpoint.id().equals(endpointId));
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
@@ -11,46 +11,46 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.fleet.StorePosition;
 
-/** Checks what is concluded from readings of a store that fails, lags and forgets. */
+/** Checks the endpoint list that results from reads of a store that fails, responds late and loses entries. */
 final class DirectoryTrackerTest {
     private final DirectoryTracker tracker = new DirectoryTracker();
 
     @Test
-    void anEndpointThatIsMissingIsGone() {
+    void missingEndpointIsRemoved() {
         listed(tracker, 1, List.of(endpoint("a"), endpoint("b")), 10_000);
         assertThat(listed(tracker, 2, List.of(endpoint("a")), 11_000)).isTrue();
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
     }
 
     @Test
-    void absenceMeansNothingWhileTheStoreIsInTroubleNorShortlyAfter() {
+    void missingEndpointIsRetainedUntilTheStoreHasBeenReadForTheGracePeriod() {
         listed(tracker, 1, List.of(endpoint("a"), endpoint("b")), 10_000);
-        assertThat(tracker.failed()).isTrue();
-        assertThat(tracker.failed()).isFalse();
+        assertThat(tracker.noteReadFailure()).isTrue();
+        assertThat(tracker.noteReadFailure()).isFalse();
         listed(tracker, 5, List.of(endpoint("a")), 20_000);
-        listed(tracker, 6, List.of(endpoint("a")), 20_000 + ReadingContinuity.GRACE_MILLIS - 1);
+        listed(tracker, 6, List.of(endpoint("a")), 20_000 + ReadContinuity.ABSENCE_GRACE_MILLIS - 1);
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
-        listed(tracker, 7, List.of(endpoint("a")), 20_000 + ReadingContinuity.GRACE_MILLIS);
+        listed(tracker, 7, List.of(endpoint("a")), 20_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
     }
 
     @Test
-    void anEndpointThatLeavesDoesNotComeBack() {
+    void leavingEndpointNeverBecomesAvailableAgain() {
         listed(tracker, 1, List.of(endpoint("a").asLeaving()), 10_000);
         listed(tracker, 2, List.of(endpoint("a")), 11_000);
         assertThat(tracker.directory().open("orders")).isEmpty();
     }
 
     @Test
-    void anOlderReadingIsIgnored() {
+    void olderReadIsIgnored() {
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
         assertThat(listed(tracker, 4, List.of(), 11_000)).isFalse();
         assertThat(tracker.directory().size()).isEqualTo(1);
     }
 
-    /** Guards against a list that waits until the revisions of a restored store have caught up. */
+    /** Guards against a list that is not updated until the revisions of a restored store have caught up. */
     @Test
-    void aReadingOfALaterEraCountsAtALowerRevisionAndNoneOfAnEarlierEraAtAHigherOne() {
+    void eraTakesPrecedenceOverRevision() {
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
         assertThat(listed(
                         tracker, new StorePosition(2, 3), List.of(endpoint("a").asLeaving()), 11_000))
@@ -60,24 +60,29 @@
         assertThat(listed(tracker, new StorePosition(2, 2), List.of(endpoint("b")), 12_000))
                 .isFalse();
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
-        assertThat(tracker.useOf(at(9))).isEqualTo(ReadingUse.EARLIER_ERA);
-        assertThat(tracker.useOf(new StorePosition(2, 2))).isEqualTo(ReadingUse.EARLIER_REVISION);
+        assertThat(tracker.useOfRead(at(9))).isEqualTo(ReadUse.EARLIER_ERA);
+        assertThat(tracker.useOfRead(new StorePosition(2, 2))).isEqualTo(ReadUse.EARLIER_REVISION);
     }
 
-    /** A snapshot may lack registrations, which are made again within a while. */
+    /**
+     * Guards against removing endpoints that a snapshot lacks although they register again shortly after the restore.
+     */
     @Test
-    void absenceMeansNothingShortlyAfterARestore() {
+    void missingEndpointIsRetainedShortlyAfterARestore() {
         settle(List.of(endpoint("a"), endpoint("b")));
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000);
         assertThat(tracker.reading().settled()).isFalse();
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
-        listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadingContinuity.GRACE_MILLIS);
+        listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
     }
 
-    /** Guards against routers that keep to a list of before a restore since the reader's new one keeps what is missing. */
+    /**
+     * Guards against keeping a settled list from before a restore because the peer's new list still retains missing
+     * endpoints.
+     */
     @Test
-    void aPeersListOfALaterEraReplacesASettledOneAndNoneOfAnEarlierEraDoes() {
+    void peersListOfALaterEraReplacesASettledList() {
         settle(List.of(endpoint("a"), endpoint("b")));
         EndpointSnapshot restored = new EndpointSnapshot(
                 new ListReading(new StorePosition(2, 3), 12_600, false),
@@ -92,20 +97,20 @@
         assertThat(tracker.peerListed(earlier, 12_700, "peer")).isFalse();
     }
 
-    /** Guards against a router that takes absence at its word just because it had relied on a peer until the restore. */
+    /** Guards against removing missing endpoints at once because this router had relied on a peer until the restore. */
     @Test
-    void aRouterThatBeginsToReadAfterARestoreKeepsWhatIsMissingAsLongAsItsPeer() {
+    void routerThatStartsReadingAfterARestoreRetainsMissingEndpointsAsLongAsItsPeer() {
         listed(tracker, 5, List.of(endpoint("a"), endpoint("b")), 10_000);
         tracker.confirmed(new ListReading(at(5), 12_500, true), 12_500, "peer");
         tracker.confirmed(new ListReading(new StorePosition(2, 3), 13_000, false), 13_000, "peer");
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 14_000);
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
-        listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadingContinuity.GRACE_MILLIS);
+        listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
     }
 
     @Test
-    void aPeersListCountsOnlyIfItIsNewer() {
+    void peersListIsAppliedOnlyIfItIsNewer() {
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
         assertThat(peerListed(5, List.of(), 10_500)).isFalse();
         assertThat(peerListed(6, List.of(endpoint("a").asLeaving()), 10_500)).isTrue();
@@ -113,7 +118,7 @@
     }
 
     @Test
-    void aPeersWordThatNothingHasChangedMakesTheListYounger() {
+    void peersConfirmationRenewsTheReadTime() {
         listed(tracker, 5, List.of(endpoint("a"), endpoint("b")), 10_000);
         DirectoryTracker other = new DirectoryTracker();
         listed(other, 6, List.of(endpoint("b"), endpoint("a")), 10_700);
@@ -130,26 +135,26 @@
     }
 
     @Test
-    void aShortTroubleLeavesAbsenceItsMeaning() {
+    void missingEndpointIsRemovedAfterAShortStoreFailure() {
         listed(tracker, 1, List.of(endpoint("a"), endpoint("b")), 10_000);
-        tracker.failed();
-        listed(tracker, 2, List.of(endpoint("a")), 10_000 + ReadingContinuity.CONTINUITY_MILLIS);
+        tracker.noteReadFailure();
+        listed(tracker, 2, List.of(endpoint("a")), 10_000 + ReadContinuity.MAX_CONTINUOUS_GAP_MILLIS);
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
     }
 
     @Test
-    void aListIsSettledOnceTheStoreWasReadForAWhile() {
+    void listIsSettledOnceTheStoreWasReadForTheGracePeriod() {
         listed(tracker, 1, List.of(endpoint("a")), 10_000);
         assertThat(tracker.reading().settled()).isFalse();
         listed(tracker, 1, List.of(endpoint("a")), 11_500);
-        listed(tracker, 1, List.of(endpoint("a")), 10_000 + ReadingContinuity.GRACE_MILLIS);
+        listed(tracker, 1, List.of(endpoint("a")), 10_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
         assertThat(tracker.reading().settled()).isTrue();
         listed(tracker, 1, List.of(endpoint("a")), 20_000);
         assertThat(tracker.reading().settled()).isFalse();
     }
 
     @Test
-    void aSettledListReplacesOneThatKeepsWhatIsMissingAtTheSameRevision() {
+    void settledListReplacesAnUnsettledOneAtTheSameRevision() {
         listed(tracker, 5, List.of(endpoint("a"), endpoint("b")), 10_000);
         listed(tracker, 6, List.of(endpoint("a")), 20_000);
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
@@ -163,7 +168,7 @@
     }
 
     @Test
-    void anAddressThatAnotherStartHasTakenIsUsedNoMore() {
+    void endpointWhoseAddressWasTakenOverReceivesNoRequests() {
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
         assertThat(tracker.gone("a")).isTrue();
         assertThat(tracker.gone("a")).isFalse();
@@ -171,7 +176,7 @@
         assertThat(tracker.directory().open("orders")).isEmpty();
     }
 
-    /** Lets the store's clock show what the router's does. */
+    /** Applies a read; the store's clock shows the same time as the router's clock. */
     private static boolean listed(
             DirectoryTracker tracker, long revision, List<ServiceEndpoint> endpoints, long nowMillis) {
         return listed(tracker, at(revision), endpoints, nowMillis);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainSpreadTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainSpreadTest.java
@@ -11,106 +11,110 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * Checks, in virtual time, how soon all routers send nothing more to a data centre that the operator wants to empty, and that no router
- * goes back behind what it knew. Deployments ask for 5 s; a second is what a configuration takes.
+ * Checks in virtual time how soon all routers stop sending to a data centre that the operator drains, and that no
+ * router returns to an outdated state. Deployments require 5 s; the tests require 1 s, the time that a configuration
+ * change takes.
  */
 final class DrainSpreadTest {
     private static final DataCentre FIRST = new DataCentre("dc-0");
     private static final DataCentre SECOND = new DataCentre("dc-1");
-    private static final Duration TO_MEET = Duration.ofSeconds(12);
-    private static final Duration IN_FORCE = Duration.ofSeconds(1);
-    private static final Duration WITH_STORE_TROUBLE = Duration.ofSeconds(2);
-    private static final Duration ALL_STARTED = Duration.ofSeconds(2);
+    private static final Duration DISCOVERY_TIME = Duration.ofSeconds(12);
+    private static final Duration SPREAD_TIME = Duration.ofSeconds(1);
+    private static final Duration SPREAD_TIME_WITH_FAULTS = Duration.ofSeconds(2);
+    private static final Duration RESTART_TIME = Duration.ofSeconds(2);
 
     @ParameterizedTest
     @ValueSource(ints = {9, 63, 370})
-    void allRoutersKnowInTimeAndForgetInTime(int count) {
-        VirtualFleet fleet = started(count);
-        // by now only a few wait at the store, the others are told by peers
+    void drainsAndTheirEndsReachAllRoutersInTime(int count) {
+        VirtualFleet fleet = startFleet(count);
+        // After this time only a few routers poll the store; the others are informed by peers.
         fleet.pass(ConfigurationFollower.WAIT);
 
         fleet.store().drain(FIRST, true);
-        fleet.pass(IN_FORCE);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(FIRST));
+        fleet.pass(SPREAD_TIME);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
 
         fleet.store().drain(SECOND, true);
-        fleet.pass(IN_FORCE);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(FIRST, SECOND));
+        fleet.pass(SPREAD_TIME);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST, SECOND));
 
         fleet.store().drain(FIRST, false);
-        fleet.pass(IN_FORCE);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(SECOND));
+        fleet.pass(SPREAD_TIME);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(SECOND));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {9, 63})
-    void routersThatTheStoreDoesNotReachAreToldByOthers(int count) {
-        VirtualFleet fleet = started(count);
+    void routersThatTheStoreRefusesAreInformedByPeers(int count) {
+        VirtualFleet fleet = startFleet(count);
         fleet.store()
-                .refuse(fleet.routers().stream()
+                .refuseRouters(fleet.routers().stream()
                         .limit(count / 2)
                         .map(router -> router.self().id())
                         .toList());
 
         fleet.store().drain(FIRST, true);
-        fleet.pass(WITH_STORE_TROUBLE);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(FIRST));
+        fleet.pass(SPREAD_TIME_WITH_FAULTS);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
     }
 
     @Test
-    void aRouterThatWasCutOffLearnsWhatBeganAndEndedMeanwhile() {
-        VirtualFleet fleet = started(9);
-        String apart = "10.1.0.2:7640";
+    void disconnectedRouterLearnsMissedDrainsAndEndsOnReconnect() {
+        VirtualFleet fleet = startFleet(9);
+        String disconnected = "10.1.0.2:7640";
         fleet.store().drain(FIRST, true);
-        fleet.pass(IN_FORCE);
-        fleet.network().cut(apart, true);
+        fleet.pass(SPREAD_TIME);
+        fleet.network().cut(disconnected, true);
         fleet.store().drain(FIRST, false);
         fleet.store().drain(SECOND, true);
         fleet.pass(Duration.ofSeconds(6));
 
-        fleet.network().cut(apart, false);
-        fleet.pass(WITH_STORE_TROUBLE);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(SECOND));
+        fleet.network().cut(disconnected, false);
+        fleet.pass(SPREAD_TIME_WITH_FAULTS);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(SECOND));
     }
 
-    /** The store's history has gone when it returns: the table as a whole tells what is not there any more. */
+    /**
+     * Guards against a drain that outlives a restart because the store no longer has the history with its end: a
+     * complete read shows that the row is gone.
+     */
     @Test
-    void whatEndedUnseenIsKnownAfterAStart() {
-        VirtualFleet fleet = started(9);
+    void endOfADrainIsKnownAfterARestartWithoutHistory() {
+        VirtualFleet fleet = startFleet(9);
         fleet.store().drain(FIRST, true);
-        fleet.pass(IN_FORCE);
+        fleet.pass(SPREAD_TIME);
         fleet.store().drain(FIRST, false);
-        fleet.store().forgetDrains();
+        fleet.store().forgetEndedDrains();
         fleet.restartAll();
-        fleet.pass(ALL_STARTED);
-        assertThat(beliefs(fleet)).containsExactly(Set.of());
+        fleet.pass(RESTART_TIME);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
     @Test
-    void aChangeJustBeforeALossOfPowerIsInForceAfterIt() {
-        VirtualFleet fleet = started(9);
+    void drainJustBeforeAPowerLossIsInForceAfterTheRestart() {
+        VirtualFleet fleet = startFleet(9);
         fleet.store().drain(FIRST, true);
         fleet.pass(Duration.ofMillis(50));
         fleet.restartAll();
-        fleet.pass(ALL_STARTED);
-        assertThat(beliefs(fleet)).containsExactly(Set.of(FIRST));
+        fleet.pass(RESTART_TIME);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
     }
 
     @Test
-    void eachRouterKnowsAllOthersByName() {
-        VirtualFleet fleet = started(63);
+    void eachRouterDiscoversAllOthers() {
+        VirtualFleet fleet = startFleet(63);
         fleet.routers().forEach(router -> assertThat(router.members().count()).isEqualTo(63));
     }
 
-    private static VirtualFleet started(int count) {
+    private static VirtualFleet startFleet(int count) {
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(TO_MEET);
+        fleet.pass(DISCOVERY_TIME);
         return fleet;
     }
 
-    private static List<Set<DataCentre>> beliefs(VirtualFleet fleet) {
+    private static List<Set<DataCentre>> drainedSets(VirtualFleet fleet) {
         return fleet.routers().stream().map(VirtualRouter::drained).distinct().toList();
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreClockTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreClockTest.java
@@ -5,50 +5,54 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Checks that a moment of the store's clock is never placed later than it was, whatever delays the store's answers. */
+/**
+ * Checks that a time on the store's clock is never converted to a later time than it was, whatever delays the store's
+ * responses.
+ */
 final class StoreClockTest {
     private static final long OFFSET_MILLIS = 123_456;
 
     private final StoreClock clock = new StoreClock();
 
     @Test
-    void beforeAnAnswerNoMomentIsKnown() {
+    void timeIsUnknownBeforeTheFirstResponse() {
         assertThat(clock.earliest(5, 100)).isEqualTo(StoreClock.NEVER);
         clock.observed(100, 108, 104 - OFFSET_MILLIS);
         assertThat(clock.earliest(StoreClock.NEVER, 200)).isEqualTo(StoreClock.NEVER);
     }
 
     @Test
-    void noMomentIsPlacedLaterThanItWas() {
+    void earliestTimeIsNeverLaterThanTheActualTime() {
         Random random = new Random(41);
-        long now = 1_000_000;
-        for (int reading = 0; reading < 2_000; reading++) {
-            now += random.nextInt(1_000);
-            int toStore = random.nextInt(300);
-            int back = random.nextInt(300);
-            clock.observed(now, now + toStore + back, now + toStore - OFFSET_MILLIS);
-            now += toStore + back;
-            long moment = now - random.nextInt(5_000);
-            assertThat(clock.earliest(moment - OFFSET_MILLIS, now)).isAtMost(moment);
+        long nowMillis = 1_000_000;
+        for (int read = 0; read < 2_000; read++) {
+            nowMillis += random.nextInt(1_000);
+            int requestMillis = random.nextInt(300);
+            int responseMillis = random.nextInt(300);
+            clock.observed(
+                    nowMillis, nowMillis + requestMillis + responseMillis, nowMillis + requestMillis - OFFSET_MILLIS);
+            nowMillis += requestMillis + responseMillis;
+            long momentMillis = nowMillis - random.nextInt(5_000);
+            assertThat(clock.earliest(momentMillis - OFFSET_MILLIS, nowMillis)).isAtMost(momentMillis);
         }
-        assertThat(clock.earliest(now - OFFSET_MILLIS, now)).isAtLeast(now - 50);
+        assertThat(clock.earliest(nowMillis - OFFSET_MILLIS, nowMillis)).isAtLeast(nowMillis - 50);
     }
 
     @Test
-    void aMomentInTheFutureIsNow() {
+    void earliestTimeIsNotInTheFuture() {
         clock.observed(100, 100, 100 - OFFSET_MILLIS);
         assertThat(clock.earliest(900 - OFFSET_MILLIS, 200)).isEqualTo(200);
     }
 
     @Test
-    void aClockThatJumpsIsLearntAnew() {
+    void offsetIsReplacedAfterAJumpOfTheStoreClock() {
         clock.observed(1_000, 1_004, 1_002 - OFFSET_MILLIS);
         clock.observed(2_000, 2_004, 2);
         assertThat(clock.earliest(2, 2_004)).isEqualTo(2_000);
     }
 
     @Test
-    void theBoundGrowsWiderAsTheClocksMayDriftApart() {
+    void earliestTimeAccountsForClockDrift() {
         clock.observed(0, 0, 0);
         assertThat(clock.earliest(1_000_000, 1_000_000)).isEqualTo(999_800);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
@@ -15,170 +15,179 @@
 import org.radishpass.routing.quarantine.RequestFingerprint;
 
 /**
- * Checks, in virtual time, what a fleet does after the store was restored from a snapshot: what it acknowledged in the last seconds is gone, and
- * its revisions are given out again.
+ * Checks in virtual time how a fleet reacts when the store is restored from a snapshot. The changes that the store
+ * acknowledged in the last seconds are lost, and their revisions are assigned again.
  */
 final class StoreRestoreTest {
-    private static final Duration TO_MEET = Duration.ofSeconds(12);
-    private static final Duration LOST = Duration.ofSeconds(5);
-    private static final Duration AWAY = Duration.ofSeconds(2);
+    private static final Duration DISCOVERY_TIME = Duration.ofSeconds(12);
+    private static final Duration LOST_PERIOD = Duration.ofSeconds(5);
+    private static final Duration STORE_DOWNTIME = Duration.ofSeconds(2);
 
-    /** After this without a disturbance promises with a time hold again. */
-    private static final Duration STABLE = Duration.ofSeconds(3);
+    /** Time without a disturbance after which the guaranteed time bounds hold again. */
+    private static final Duration STABLE_PERIOD = Duration.ofSeconds(3);
 
-    /** After this an endpoint that leaves gets nothing new. */
-    private static final Duration DRAIN = Duration.ofSeconds(2);
+    /** Time after which a leaving endpoint must receive nothing new. */
+    private static final Duration LEAVING_BOUND = Duration.ofSeconds(2);
 
-    /** After this a configuration is in force everywhere. */
-    private static final Duration IN_FORCE = Duration.ofSeconds(2);
+    /** Time after which a configuration must be in force at all routers. */
+    private static final Duration CONFIGURATION_BOUND = Duration.ofSeconds(2);
 
-    /** Revisions that are lost: more than the fleet of these tests uses up until the end. */
+    /** Number of lost revisions, more than the fleet uses until the end of any of these tests. */
     private static final int LOST_REVISIONS = 1_000;
 
-    /** Routers of a fleet that is so small that each waits for configurations at the store itself. */
-    private static final int ALL_WAIT_FOR_CONFIGURATIONS = 3;
+    /** Number of routers in a fleet that is so small that each router polls the store for configurations itself. */
+    private static final int CONFIGURATION_READERS = 3;
 
-    private static final Duration ALL_HAD_THEIR_TURN = Duration.ofSeconds(4);
+    private static final Duration ALL_TURNS = Duration.ofSeconds(4);
 
-    /** Calls a second that the store takes of all routers together, less than its limit for writes alone. */
-    private static final int MOST_CALLS = 400;
+    /**
+     * Maximum calls per second that the store accepts from all routers together, less than its limit for writes alone.
+     */
+    private static final int MAX_CALLS_PER_SECOND = 400;
 
-    /** Calls a second of a fleet of any size while nothing happens: readings of the list, and waits that begin anew. */
-    private static final int CALM_CALLS = 10;
+    /** Maximum calls per second of an idle fleet of any size: reads of the endpoint list, and renewed long polls. */
+    private static final int MAX_IDLE_CALLS_PER_SECOND = 10;
 
-    private static final double POOR_MEGABITS = 14;
+    private static final double SLOW_LINK_MEGABITS = 14;
     private static final int LARGE_BYTES = 500_000;
-    private static final DataCentre EVACUATED = new DataCentre("dc-0");
-    private static final RequestFingerprint ENDS_ENDPOINTS = new RequestFingerprint(1, 2, 3);
-    private static final RequestFingerprint CLEARED = new RequestFingerprint(1, 2, 4);
-    private static final String REMOVED = "endpoint-1";
-    private static final String DRAINING = "endpoint-2";
+    private static final DataCentre DRAINED_DATA_CENTRE = new DataCentre("dc-0");
+    private static final RequestFingerprint CRASHING_REQUEST = new RequestFingerprint(1, 2, 3);
+    private static final RequestFingerprint CLEARED_REQUEST = new RequestFingerprint(1, 2, 4);
+    private static final String REMOVED_ENDPOINT = "endpoint-1";
+    private static final String LEAVING_ENDPOINT = "endpoint-2";
 
     /**
-     * Guards against a list that stays at what was read before the restore until the store's revision has caught up, and against a storm of
-     * calls, as that of routers that read the whole configuration by turns with 410.
+     * Guards against a list that stays at its state from before the restore until the store's revisions have caught up.
+     * Also guards against bursts of calls, such as routers that alternately read the whole configuration and receive
+     * status 410.
      */
     @ParameterizedTest
     @ValueSource(ints = {9, 63, 370})
-    void endpointsThatLeaveAfterARestoreGetNothingNew(int count) {
-        VirtualFleet fleet = started(count);
-        loseAndRestore(fleet);
-        List<Integer> calls = callsEachSecond(fleet, STABLE);
-        leave(fleet);
-        calls.addAll(callsEachSecond(fleet, DRAIN));
-        assertThat(senders(fleet, REMOVED)).isEqualTo(0);
-        assertThat(senders(fleet, DRAINING)).isEqualTo(0);
-
-        calls.addAll(callsEachSecond(fleet, ALL_HAD_THEIR_TURN));
-        assertThat(Collections.max(calls)).isAtMost(MOST_CALLS);
-        assertThat(calls.get(calls.size() - 1)).isAtMost(CALM_CALLS);
+    void endpointsThatLeaveAfterARestoreReceiveNothingNew(int count) {
+        VirtualFleet fleet = startFleet(count);
+        loseChangesAndRestore(fleet);
+        List<Integer> calls = callsEachSecond(fleet, STABLE_PERIOD);
+        removeAndMarkLeaving(fleet);
+        calls.addAll(callsEachSecond(fleet, LEAVING_BOUND));
+        assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(0);
+        assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(0);
+
+        calls.addAll(callsEachSecond(fleet, ALL_TURNS));
+        assertThat(Collections.max(calls)).isAtMost(MAX_CALLS_PER_SECOND);
+        assertThat(calls.get(calls.size() - 1)).isAtMost(MAX_IDLE_CALLS_PER_SECOND);
     }
 
-    /** Guards against changes that are asked for from a revision on that has another meaning by now. */
+    /** Guards against requests for changes since a revision that has another meaning after a restore. */
     @Test
-    void aConfigurationAtARevisionThatWasGivenOutBeforeComesIntoForce() {
-        VirtualFleet fleet = started(ALL_WAIT_FOR_CONFIGURATIONS);
-        VirtualStore.Snapshot snapshot = lose(fleet);
+    void configurationAtAReassignedRevisionIsPutInForce() {
+        VirtualFleet fleet = startFleet(CONFIGURATION_READERS);
+        VirtualStore.Snapshot snapshot = writeLostChangesAndStopStore(fleet);
         fleet.store().restore(snapshot);
         fleet.publish(2, 2_000);
         fleet.publish(3, 2_000);
-        fleet.store().writeOther(2 * LOST_REVISIONS);
-        fleet.store().down(false);
-        fleet.pass(IN_FORCE);
+        fleet.store().writeUnrelatedRows(2 * LOST_REVISIONS);
+        fleet.store().setDown(false);
+        fleet.pass(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(3L);
     }
 
-    /** Guards against routers that others do not find, since the snapshot is from before their registration. */
+    /** Guards against routers that others cannot discover because the snapshot was taken before they registered. */
     @ParameterizedTest
     @ValueSource(ints = {9, 63})
-    void registrationsThatASnapshotLacksAreMadeAgain(int count) {
+    void registrationsThatASnapshotLacksAreWrittenAgain(int count) {
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.startAll();
-        fleet.pass(TO_MEET);
+        fleet.pass(DISCOVERY_TIME);
         fleet.store().restore(snapshot);
-        assertThat(registered(fleet)).isEqualTo(0);
-        fleet.pass(STABLE);
-        assertThat(registered(fleet)).isEqualTo(count);
+        assertThat(countRegistered(fleet)).isEqualTo(0);
+        fleet.pass(STABLE_PERIOD);
+        assertThat(countRegistered(fleet)).isEqualTo(count);
     }
 
-    /** Guards against a request that ends more endpoints after a loss of power, since the snapshot is from before it was kept. */
+    /**
+     * Guards against a request that crashes further endpoints after a power loss because the snapshot was taken before
+     * its quarantine.
+     */
     @Test
-    void aRequestThatIsKeptFromEndpointsIsWrittenAgainAndOneThatWasClearedIsNot() {
-        VirtualFleet fleet = started(9);
+    void quarantinedRequestIsWrittenAgainAndAClearedOneIsNot() {
+        VirtualFleet fleet = startFleet(9);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         VirtualRouter first = fleet.routers().iterator().next();
-        for (int end = 1; end <= 3; end++) {
-            first.suspects().endedUnder(ENDS_ENDPOINTS, end);
-            first.suspects().endedUnder(CLEARED, 10 + end);
+        for (int crash = 1; crash <= 3; crash++) {
+            first.suspects().endedUnder(CRASHING_REQUEST, crash);
+            first.suspects().endedUnder(CLEARED_REQUEST, 10 + crash);
             fleet.pass(Duration.ofMillis(500));
         }
-        assertThat(fleet.store().keeps(CLEARED)).isTrue();
-        VirtualStore.Snapshot withBoth = fleet.store().snapshot();
-        List.copyOf(fleet.routers()).get(4).suspects().answered(CLEARED);
-        fleet.pass(STABLE);
-        assertThat(fleet.store().keeps(CLEARED)).isFalse();
+        assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isTrue();
+        VirtualStore.Snapshot snapshotWithBoth = fleet.store().snapshot();
+        List.copyOf(fleet.routers()).get(4).suspects().answered(CLEARED_REQUEST);
+        fleet.pass(STABLE_PERIOD);
+        assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
 
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE);
-        assertThat(fleet.store().keeps(ENDS_ENDPOINTS)).isTrue();
-        assertThat(fleet.store().keeps(CLEARED)).isFalse();
-
-        fleet.store().restore(withBoth);
-        fleet.pass(STABLE);
-        assertThat(fleet.store().keeps(ENDS_ENDPOINTS)).isTrue();
-        assertThat(fleet.store().keeps(CLEARED)).isFalse();
+        fleet.pass(STABLE_PERIOD);
+        assertThat(fleet.store().quarantines(CRASHING_REQUEST)).isTrue();
+        assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
+
+        fleet.store().restore(snapshotWithBoth);
+        fleet.pass(STABLE_PERIOD);
+        assertThat(fleet.store().quarantines(CRASHING_REQUEST)).isTrue();
+        assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
     }
 
-    /** Guards against a configuration that goes back at a router which starts while the store has only an earlier one. */
+    /**
+     * Guards against a router that starts with an outdated configuration because the restored store contains only that
+     * one.
+     */
     @Test
-    void aRouterThatStartsWhileTheStoreHasAnEarlierConfigurationTakesTheOneInForce() {
-        VirtualFleet fleet = started(2);
-        loseAndRestore(fleet);
+    void routerStartedWithAnOutdatedStoreUsesTheConfigurationInForce() {
+        VirtualFleet fleet = startFleet(2);
+        loseChangesAndRestore(fleet);
         fleet.restart(1);
-        fleet.pass(IN_FORCE);
+        fleet.pass(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(2L);
     }
 
     @Test
-    void aDrainThatASnapshotLacksHoldsUntilItIsWrittenAgain() {
-        VirtualFleet fleet = started(9);
+    void drainThatASnapshotLacksHoldsUntilItIsWrittenAgain() {
+        VirtualFleet fleet = startFleet(9);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
-        fleet.store().drain(EVACUATED, true);
-        fleet.pass(IN_FORCE);
+        fleet.store().drain(DRAINED_DATA_CENTRE, true);
+        fleet.pass(CONFIGURATION_BOUND);
         fleet.store().restore(snapshot);
-        for (int moment = 0; moment < 4; moment++) {
+        for (int check = 0; check < 4; check++) {
             fleet.pass(Duration.ofMillis(500));
-            assertThat(drained(fleet)).containsExactly(Set.of(EVACUATED));
+            assertThat(drainedSets(fleet)).containsExactly(Set.of(DRAINED_DATA_CENTRE));
         }
-        fleet.store().drain(EVACUATED, true);
-        fleet.pass(STABLE);
-        assertThat(drained(fleet)).containsExactly(Set.of(EVACUATED));
-        fleet.store().drain(EVACUATED, false);
-        fleet.pass(IN_FORCE);
-        assertThat(drained(fleet)).containsExactly(Set.of());
+        fleet.store().drain(DRAINED_DATA_CENTRE, true);
+        fleet.pass(STABLE_PERIOD);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of(DRAINED_DATA_CENTRE));
+        fleet.store().drain(DRAINED_DATA_CENTRE, false);
+        fleet.pass(CONFIGURATION_BOUND);
+        assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
     @Test
-    void aDrainThatIsNotWrittenAgainEnds() {
-        VirtualFleet fleet = started(9);
+    void drainThatIsNotWrittenAgainEnds() {
+        VirtualFleet fleet = startFleet(9);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
-        fleet.store().drain(EVACUATED, true);
-        fleet.pass(IN_FORCE);
+        fleet.store().drain(DRAINED_DATA_CENTRE, true);
+        fleet.pass(CONFIGURATION_BOUND);
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE.plus(IN_FORCE));
-        assertThat(drained(fleet)).containsExactly(Set.of());
+        fleet.pass(STABLE_PERIOD.plus(CONFIGURATION_BOUND));
+        assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
-    /** Several restores within seconds, a cut of the reader's link and a restart of a router among them. */
+    /** Covers several restores within seconds, combined with a disconnected reader and a router restart. */
     @Test
-    void endpointsThatLeaveAfterSeveralRestoresGetNothingNew() {
-        VirtualFleet fleet = started(9);
+    void endpointsThatLeaveAfterSeveralRestoresReceiveNothingNew() {
+        VirtualFleet fleet = startFleet(9);
         String reader = fleet.routers().iterator().next().self().id();
-        VirtualStore.Snapshot snapshot = lose(fleet);
+        VirtualStore.Snapshot snapshot = writeLostChangesAndStopStore(fleet);
         fleet.store().restore(snapshot);
-        fleet.store().down(false);
+        fleet.store().setDown(false);
         fleet.pass(Duration.ofMillis(700));
         fleet.network().cut(reader, true);
         fleet.store().restore(snapshot);
@@ -187,38 +196,38 @@
         fleet.store().restore(snapshot);
         fleet.pass(Duration.ofMillis(900));
         fleet.network().cut(reader, false);
-        fleet.pass(STABLE);
-        leave(fleet);
+        fleet.pass(STABLE_PERIOD);
+        removeAndMarkLeaving(fleet);
         fleet.publish(3, 2_000);
-        fleet.pass(DRAIN);
-        assertThat(senders(fleet, REMOVED)).isEqualTo(0);
-        assertThat(senders(fleet, DRAINING)).isEqualTo(0);
+        fleet.pass(LEAVING_BOUND);
+        assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(0);
+        assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(0);
         assertThat(versions(fleet)).containsExactly(3L);
     }
 
     @Test
-    void aLargeConfigurationThatIsPublishedAfterARestoreComesIntoForceOnPoorLinks() {
-        VirtualFleet fleet = new VirtualFleet(9, 3, 20, POOR_MEGABITS);
+    void largeConfigurationPublishedAfterARestoreIsPutInForceOnSlowLinks() {
+        VirtualFleet fleet = new VirtualFleet(9, 3, 20, SLOW_LINK_MEGABITS);
         fleet.publish(1, LARGE_BYTES);
         fleet.startAll();
-        fleet.pass(TO_MEET);
+        fleet.pass(DISCOVERY_TIME);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
-        fleet.store().writeOther(LOST_REVISIONS);
-        fleet.pass(LOST);
+        fleet.store().writeUnrelatedRows(LOST_REVISIONS);
+        fleet.pass(LOST_PERIOD);
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE);
+        fleet.pass(STABLE_PERIOD);
         fleet.publish(2, LARGE_BYTES);
-        fleet.pass(IN_FORCE);
+        fleet.pass(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(2L);
     }
 
-    private static long registered(VirtualFleet fleet) {
+    private static long countRegistered(VirtualFleet fleet) {
         return fleet.routers().stream()
                 .filter(router -> fleet.store().registered(router.self().id()))
                 .count();
     }
 
-    private static List<Set<DataCentre>> drained(VirtualFleet fleet) {
+    private static List<Set<DataCentre>> drainedSets(VirtualFleet fleet) {
         return fleet.routers().stream().map(VirtualRouter::drained).distinct().toList();
     }
 
@@ -232,47 +241,50 @@
         return calls;
     }
 
-    private static VirtualFleet started(int count) {
+    private static VirtualFleet startFleet(int count) {
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(TO_MEET);
-        assertThat(senders(fleet, REMOVED)).isEqualTo(count);
-        assertThat(senders(fleet, DRAINING)).isEqualTo(count);
+        fleet.pass(DISCOVERY_TIME);
+        assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(count);
+        assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(count);
         return fleet;
     }
 
-    private static void loseAndRestore(VirtualFleet fleet) {
-        VirtualStore.Snapshot snapshot = lose(fleet);
+    private static void loseChangesAndRestore(VirtualFleet fleet) {
+        VirtualStore.Snapshot snapshot = writeLostChangesAndStopStore(fleet);
         fleet.store().restore(snapshot);
-        fleet.store().down(false);
+        fleet.store().setDown(false);
     }
 
-    /** Lets the store write what it will lose, version 2 of the configuration among it, and takes it away. */
-    private static VirtualStore.Snapshot lose(VirtualFleet fleet) {
+    /**
+     * Takes a snapshot, lets the store write changes that a restore loses, including version 2 of the configuration,
+     * and stops the store.
+     */
+    private static VirtualStore.Snapshot writeLostChangesAndStopStore(VirtualFleet fleet) {
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
-        fleet.store().writeOther(LOST_REVISIONS);
+        fleet.store().writeUnrelatedRows(LOST_REVISIONS);
         fleet.publish(2, 2_000);
-        fleet.pass(LOST);
+        fleet.pass(LOST_PERIOD);
         assertThat(versions(fleet)).containsExactly(2L);
-        fleet.store().down(true);
-        fleet.pass(AWAY);
+        fleet.store().setDown(true);
+        fleet.pass(STORE_DOWNTIME);
         return snapshot;
     }
 
-    private static void leave(VirtualFleet fleet) {
-        List<ServiceEndpoint> left = fleet.store().endpoints().stream()
-                .filter(endpoint -> !endpoint.id().equals(REMOVED))
-                .map(endpoint -> endpoint.id().equals(DRAINING) ? endpoint.asLeaving() : endpoint)
+    private static void removeAndMarkLeaving(VirtualFleet fleet) {
+        List<ServiceEndpoint> remaining = fleet.store().endpoints().stream()
+                .filter(endpoint -> !endpoint.id().equals(REMOVED_ENDPOINT))
+                .map(endpoint -> endpoint.id().equals(LEAVING_ENDPOINT) ? endpoint.asLeaving() : endpoint)
                 .toList();
-        fleet.store().list(left);
+        fleet.store().list(remaining);
     }
 
     private static List<Long> versions(VirtualFleet fleet) {
         return fleet.routers().stream().map(VirtualRouter::version).distinct().toList();
     }
 
-    private static long senders(VirtualFleet fleet, String endpoint) {
+    private static long countSendingRouters(VirtualFleet fleet, String endpoint) {
         return fleet.routers().stream()
                 .filter(router -> router.sendsTo(endpoint))
                 .count();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/UnusableEntriesTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/UnusableEntriesTest.java
@@ -6,41 +6,41 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks that an unusable entry is told of once for each fault, and not at each reading. */
+/** Checks that an unusable entry is reported once for each fault, and not at each read. */
 final class UnusableEntriesTest {
     private final SimpleMeterRegistry metrics = new SimpleMeterRegistry();
     private final UnusableEntries entries = new UnusableEntries(metrics);
 
     @Test
-    void eachFaultIsToldOnce() {
-        for (int reading = 0; reading < 5; reading++) {
+    void eachFaultIsReportedOnce() {
+        for (int repetition = 0; repetition < 5; repetition++) {
             entries.read(List.of(entry("a", EntryFault.SYNTAX), entry("b", EntryFault.TYPE)));
         }
-        assertThat(told(EntryFault.SYNTAX)).isEqualTo(1);
-        assertThat(told(EntryFault.TYPE)).isEqualTo(1);
+        assertThat(reportedCount(EntryFault.SYNTAX)).isEqualTo(1);
+        assertThat(reportedCount(EntryFault.TYPE)).isEqualTo(1);
         entries.read(List.of(entry("a", EntryFault.TYPE), entry("b", EntryFault.TYPE)));
-        assertThat(told(EntryFault.TYPE)).isEqualTo(2);
+        assertThat(reportedCount(EntryFault.TYPE)).isEqualTo(2);
     }
 
     @Test
-    void anEntryThatBecomesUnusableAgainIsToldAgain() {
+    void entryThatBecomesUnusableAgainIsReportedAgain() {
         entries.read(List.of(entry("a", EntryFault.SYNTAX)));
         entries.read(List.of());
         entries.read(List.of(entry("a", EntryFault.SYNTAX)));
-        assertThat(told(EntryFault.SYNTAX)).isEqualTo(2);
+        assertThat(reportedCount(EntryFault.SYNTAX)).isEqualTo(2);
     }
 
     @Test
-    void aWriterGoneWildDoesNotFillTheLog() {
-        List<EndpointEntry.Unusable> many = java.util.stream.IntStream.range(0, 5_000)
+    void reportsAreLimitedWhenManyEntriesAreUnusable() {
+        List<EndpointEntry.Unusable> manyEntries = java.util.stream.IntStream.range(0, 5_000)
                 .mapToObj(number -> entry("e" + number, EntryFault.VALUE))
                 .toList();
-        entries.read(many);
-        entries.read(many);
-        assertThat(told(EntryFault.VALUE)).isEqualTo(100);
+        entries.read(manyEntries);
+        entries.read(manyEntries);
+        assertThat(reportedCount(EntryFault.VALUE)).isEqualTo(100);
     }
 
-    private double told(EntryFault fault) {
+    private double reportedCount(EntryFault fault) {
         return metrics.get("radishpass.entries.unusable")
                 .tag("fault", fault.label())
                 .counter()
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
@@ -39,7 +39,7 @@
      * @param megabits each router's link
      */
     VirtualFleet(int count, int dataCentres, int endpoints, double megabits) {
-        network.add(VirtualStore.MACHINE, STORE_MEGABITS);
+        network.add(VirtualStore.HOST, STORE_MEGABITS);
         for (int number = 0; number < count; number++) {
             int place = number % dataCentres;
             Address address = new Address("10." + place + ".0." + (1 + number / dataCentres), PEER_PORT);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualStore.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualStore.java
@@ -26,20 +26,22 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A store in virtual time whose answers travel over its link and that of the router that asks. */
+/**
+ * Simulates the store in virtual time. Responses travel over the store's link and the link of the requesting router.
+ */
 final class VirtualStore {
-    static final String MACHINE = "store";
+    static final String HOST = "store";
 
-    private static final long ANSWER_MILLIS = 4;
+    private static final long RESPONSE_DELAY_MILLIS = 4;
     private static final int ENDPOINT_BYTES = 260;
     private static final int ROUTER_BYTES = 150;
     private static final int QUARANTINED_BYTES = 250;
-    private static final int HEAD_BYTES = 200;
+    private static final int HEADER_BYTES = 200;
 
     private final VirtualScheduler scheduler;
     private final VirtualNetwork network;
     private final List<Version> versions = new ArrayList<>();
-    private final List<Wait> waiting = new ArrayList<>();
+    private final List<LongPoll> longPolls = new ArrayList<>();
     private final Map<RequestFingerprint, Suspect> quarantined = new LinkedHashMap<>();
     private final Map<String, FleetRouter> routers = new LinkedHashMap<>();
     private final Map<DataCentre, DataCentreDrain> drains = new LinkedHashMap<>();
@@ -55,7 +57,7 @@
         this.network = network;
     }
 
-    /** Returns what it holds now. */
+    /** Returns the current content of the store. */
     Snapshot snapshot() {
         return new Snapshot(
                 revision,
@@ -66,48 +68,51 @@
                 endpoints);
     }
 
-    /** Comes back from a snapshot: what was written since is gone, its revisions are given out again, and waits are cut. */
+    /**
+     * Restores the store from a snapshot. Later changes are lost, their revisions are assigned again, and long polls
+     * fail.
+     */
     void restore(Snapshot from) {
         era++;
         revision = from.revision();
-        replace(versions, from.versions());
-        replace(quarantined, from.quarantined());
-        replace(routers, from.routers());
-        replace(drains, from.drains());
+        replaceContents(versions, from.versions());
+        replaceContents(quarantined, from.quarantined());
+        replaceContents(routers, from.routers());
+        replaceContents(drains, from.drains());
         endpoints = from.endpoints();
-        cutWaits();
+        failLongPolls();
     }
 
-    private static <T> void replace(List<T> held, List<T> restored) {
-        held.clear();
-        held.addAll(restored);
+    private static <T> void replaceContents(List<T> current, List<T> restored) {
+        current.clear();
+        current.addAll(restored);
     }
 
-    private static <K, V> void replace(Map<K, V> held, Map<K, V> restored) {
-        held.clear();
-        held.putAll(restored);
+    private static <K, V> void replaceContents(Map<K, V> current, Map<K, V> restored) {
+        current.clear();
+        current.putAll(restored);
     }
 
-    /** Answers nobody, or does so again. */
-    void down(boolean now) {
-        down = now;
-        cutWaits();
+    /** Makes the store refuse all requests, or respond again. */
+    void setDown(boolean newDown) {
+        down = newDown;
+        failLongPolls();
     }
 
-    private void cutWaits() {
-        List<Wait> cut = List.copyOf(waiting);
-        waiting.clear();
-        cut.forEach(Wait::cut);
+    private void failLongPolls() {
+        List<LongPoll> failedPolls = List.copyOf(longPolls);
+        longPolls.clear();
+        failedPolls.forEach(LongPoll::fail);
     }
 
-    private void wake() {
-        List<Wait> woken = List.copyOf(waiting);
-        waiting.clear();
-        woken.forEach(Wait::wake);
+    private void completeLongPolls() {
+        List<LongPoll> completedPolls = List.copyOf(longPolls);
+        longPolls.clear();
+        completedPolls.forEach(LongPoll::complete);
     }
 
     /** Writes rows that no router reads. */
-    void writeOther(int count) {
+    void writeUnrelatedRows(int count) {
         revision += count;
     }
 
@@ -116,8 +121,8 @@
         return routers.containsKey(router);
     }
 
-    /** Tells whether a request is kept. */
-    boolean keeps(RequestFingerprint request) {
+    /** Tells whether a request is quarantined. */
+    boolean quarantines(RequestFingerprint request) {
         return quarantined.containsKey(request);
     }
 
@@ -125,49 +130,49 @@
     void publish(byte[] content) {
         revision++;
         versions.add(new Version(revision, content));
-        wake();
+        completeLongPolls();
     }
 
-    /** Asks for a data centre to be emptied, or takes that back. */
+    /** Starts or ends the drain of a data centre. */
     void drain(DataCentre dataCentre, boolean drained) {
         revision++;
         drains.put(dataCentre, new DataCentreDrain(dataCentre, position(), drained));
-        wake();
+        completeLongPolls();
     }
 
-    /** Turns routers away from now on. */
-    void refuse(Collection<String> routers) {
+    /** Refuses all further requests of the given routers. */
+    void refuseRouters(Collection<String> routers) {
         refused.addAll(routers);
     }
 
-    /** Forgets what was taken back, as a store does in time. */
-    void forgetDrains() {
+    /** Discards the ends of drains, as a store does with its history after some time. */
+    void forgetEndedDrains() {
         revision++;
         drains.values().removeIf(drain -> !drain.drained());
     }
 
-    /** Lists endpoints. */
+    /** Replaces the listed endpoints. */
     void list(List<ServiceEndpoint> newEndpoints) {
         revision++;
         endpoints = List.copyOf(newEndpoints);
     }
 
-    /** Returns the endpoints that are listed. */
+    /** Returns the listed endpoints. */
     List<ServiceEndpoint> endpoints() {
         return endpoints;
     }
 
-    /** Returns how many calls were made. */
+    /** Returns the number of calls so far. */
     int calls() {
         return calls;
     }
 
-    /** Returns a router's way to it. */
+    /** Returns a router's connection to this store. */
     ControlSource link(String router) {
         return new Link(router);
     }
 
-    /** What it held at some moment. */
+    /** The content of the store at some moment. */
     record Snapshot(
             long revision,
             List<Version> versions,
@@ -176,28 +181,28 @@
             Map<DataCentre, DataCentreDrain> drains,
             List<ServiceEndpoint> endpoints) {}
 
-    /** A call that is held until something changes. */
-    private static final class Wait {
+    /** A request that is held until something changes. */
+    private static final class LongPoll {
         private final Sinks.Empty<Void> ended = Sinks.empty();
 
-        private void wake() {
+        private void complete() {
             ended.tryEmitEmpty();
         }
 
-        private void cut() {
+        private void fail() {
             ended.tryEmitError(new IOException("cut"));
         }
     }
 
-    /** One version of the configuration. */
+    /** A version of the configuration. */
     private record Version(long revision, byte[] content) {
-        /** The store sends it as text, four bytes for three. */
+        /** Returns the size of the response: the store sends the document as Base64, four bytes for three. */
         int bytes() {
             return content.length * 4 / 3;
         }
     }
 
-    /** One router's way. */
+    /** The connection of one router to the store. */
     private final class Link implements ControlSource {
         private final String router;
         private final Sinks.Many<Long> eras = Sinks.many().replay().latest();
@@ -212,57 +217,60 @@
             return eras.asFlux();
         }
 
-        private void answered(long told) {
-            if (told > latestEra) {
-                latestEra = told;
-                eras.tryEmitNext(told);
+        private void observeEra(long reportedEra) {
+            if (reportedEra > latestEra) {
+                latestEra = reportedEra;
+                eras.tryEmitNext(reportedEra);
             }
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer begun) {
-            return answer(() -> versions.isEmpty() ? 0 : newest().bytes(), () -> reading(-1), begun)
+        public Mono<ConfigurationReading> configuration(LongConsumer onResponseStart) {
+            return respond(() -> versions.isEmpty() ? 0 : newest().bytes(), () -> reading(-1), onResponseStart)
                     .onErrorResume(error -> Mono.just(new ConfigurationReading.Unavailable(error.toString())));
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(StorePosition place, Duration wait, LongConsumer begun) {
-            if (place.era() != latestEra) {
+        public Mono<ConfigurationReading> configurationAfter(
+                StorePosition afterPosition, Duration wait, LongConsumer onResponseStart) {
+            if (afterPosition.era() != latestEra) {
                 return Mono.just(new ConfigurationReading.HistoryLost());
             }
-            long after = place.revision();
-            return awaitChange(after, wait)
-                    .then(answer(
-                            () -> bytesAfter(after),
-                            () -> place.era() == era ? reading(after) : new ConfigurationReading.HistoryLost(),
-                            begun))
+            long afterRevision = afterPosition.revision();
+            return awaitChange(afterRevision, wait)
+                    .then(respond(
+                            () -> bytesAfter(afterRevision),
+                            () -> afterPosition.era() == era
+                                    ? reading(afterRevision)
+                                    : new ConfigurationReading.HistoryLost(),
+                            onResponseStart))
                     .onErrorResume(error -> Mono.just(new ConfigurationReading.Unavailable(error.toString())));
         }
 
-        private Mono<Void> awaitChange(long after, Duration wait) {
+        private Mono<Void> awaitChange(long afterRevision, Duration wait) {
             return Mono.defer(() -> {
-                if (after > revision
-                        || bytesAfter(after) > 0
-                        || !drainsAfter(after).entries().isEmpty()) {
+                if (afterRevision > revision
+                        || bytesAfter(afterRevision) > 0
+                        || !drainsAfter(afterRevision).entries().isEmpty()) {
                     return Mono.empty();
                 }
-                Wait begun = new Wait();
-                waiting.add(begun);
-                scheduler.schedule(begun::wake, wait.toMillis(), TimeUnit.MILLISECONDS);
-                return begun.ended.asMono().doFinally(signal -> waiting.remove(begun));
+                LongPoll longPoll = new LongPoll();
+                longPolls.add(longPoll);
+                scheduler.schedule(longPoll::complete, wait.toMillis(), TimeUnit.MILLISECONDS);
+                return longPoll.ended.asMono().doFinally(signal -> longPolls.remove(longPoll));
             });
         }
 
         @Override
         public Mono<DirectoryReading> directory() {
-            return answer(() -> ENDPOINT_BYTES * endpoints.size(), () -> (DirectoryReading)
+            return respond(() -> ENDPOINT_BYTES * endpoints.size(), () -> (DirectoryReading)
                             new DirectoryReading.Listed(position(), scheduler.millis(), endpoints, List.of()))
                     .onErrorResume(error -> Mono.just(new DirectoryReading.Unavailable(error.toString())));
         }
 
         @Override
         public Mono<RegistryReading> register(FleetRouter self) {
-            return answer(() -> ROUTER_BYTES * routers.size(), () -> {
+            return respond(() -> ROUTER_BYTES * routers.size(), () -> {
                         revision++;
                         routers.put(self.id(), self);
                         return registry(revision);
@@ -272,7 +280,7 @@
 
         @Override
         public Mono<RegistryReading> registered() {
-            return answer(() -> ROUTER_BYTES * routers.size(), () -> registry(-1))
+            return respond(() -> ROUTER_BYTES * routers.size(), () -> registry(-1))
                     .onErrorResume(error -> Mono.just(new RegistryReading.Unavailable(error.toString())));
         }
 
@@ -284,7 +292,7 @@
 
         @Override
         public Mono<QuarantineReading> quarantined() {
-            return answer(() -> QUARANTINED_BYTES * quarantined.size(), () ->
+            return respond(() -> QUARANTINED_BYTES * quarantined.size(), () ->
                             (QuarantineReading) new QuarantineReading.Listed(List.copyOf(quarantined.values())))
                     .onErrorResume(error -> Mono.just(new QuarantineReading.Unavailable(error.toString())));
         }
@@ -305,20 +313,21 @@
             });
         }
 
-        private <T> Mono<T> answer(IntSupplier bytes, Supplier<T> value) {
-            return answer(bytes, value, size -> {});
+        private <T> Mono<T> respond(IntSupplier bytes, Supplier<T> value) {
+            return respond(bytes, value, size -> {});
         }
 
-        private <T> Mono<T> answer(IntSupplier bytes, Supplier<T> value, LongConsumer begun) {
+        private <T> Mono<T> respond(IntSupplier bytes, Supplier<T> value, LongConsumer onResponseStart) {
             return Mono.defer(() -> {
                 calls++;
                 if (down || refused.contains(router)) {
                     return Mono.error(new IOException("refused"));
                 }
                 VirtualTransfer<T> transfer = new VirtualTransfer<>(scheduler);
-                VirtualNetwork.Connection connection = network.connect(MACHINE, router);
-                Runnable send = () -> send(connection, transfer, HEAD_BYTES + bytes.getAsInt(), value.get(), begun);
-                scheduler.schedule(send, ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+                VirtualNetwork.Connection connection = network.connect(HOST, router);
+                Runnable send =
+                        () -> send(connection, transfer, HEADER_BYTES + bytes.getAsInt(), value.get(), onResponseStart);
+                scheduler.schedule(send, RESPONSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
                 return transfer.result().doOnCancel(connection::close).doOnError(error -> connection.close());
             });
         }
@@ -328,13 +337,13 @@
                 VirtualTransfer<T> transfer,
                 int bytes,
                 T value,
-                LongConsumer begun) {
-            long toldEra = era;
+                LongConsumer onResponseStart) {
+            long eraAtSend = era;
             connection.send(
                     bytes,
                     count -> {
-                        answered(toldEra);
-                        begun.accept(bytes);
+                        observeEra(eraAtSend);
+                        onResponseStart.accept(bytes);
                         transfer.received(count);
                     },
                     () -> transfer.whole(value));
@@ -349,39 +358,40 @@
         return versions.get(versions.size() - 1);
     }
 
-    private ConfigurationReading reading(long after) {
-        if (after > revision) {
+    private ConfigurationReading reading(long afterRevision) {
+        if (afterRevision > revision) {
             return new ConfigurationReading.HistoryLost();
         }
-        if (versions.isEmpty() || newest().revision() <= after) {
-            return new ConfigurationReading.Unchanged(position(), drainsAfter(after));
+        if (versions.isEmpty() || newest().revision() <= afterRevision) {
+            return new ConfigurationReading.Unchanged(position(), drainsAfter(afterRevision));
         }
-        return new ConfigurationReading.Published(position(), newest().content(), drainsAfter(after));
+        return new ConfigurationReading.Published(position(), newest().content(), drainsAfter(afterRevision));
     }
 
-    /** A whole reading holds what is there, others what has changed. */
-    private DrainReading drainsAfter(long after) {
-        boolean whole = after < 0;
+    /** Returns all drains in effect if the position is negative, and the changes since the position otherwise. */
+    private DrainReading drainsAfter(long afterRevision) {
+        boolean whole = afterRevision < 0;
         return new DrainReading(
                 whole,
                 position(),
                 drains.values().stream()
                         .filter(drain ->
-                                whole ? drain.drained() : drain.position().revision() > after)
+                                whole ? drain.drained() : drain.position().revision() > afterRevision)
                         .toList());
     }
 
-    private RegistryReading registry(long own) {
+    private RegistryReading registry(long registeredRevision) {
         return new RegistryReading.Registered(
                 routers.values().stream()
-                        .map(router -> new RegistryReading.Registration(router, new StorePosition(era, own)))
+                        .map(router ->
+                                new RegistryReading.Registration(router, new StorePosition(era, registeredRevision)))
                         .toList(),
-                new StorePosition(era, own));
+                new StorePosition(era, registeredRevision));
     }
 
-    private int bytesAfter(long after) {
+    private int bytesAfter(long afterRevision) {
         return versions.stream()
-                .filter(version -> version.revision() > after)
+                .filter(version -> version.revision() > afterRevision)
                 .mapToInt(Version::bytes)
                 .sum();
     }
