--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
@@ -32,15 +32,16 @@
 import reactor.core.publisher.Flux;
 
 /**
- * A router's view of its fleet, from the store and from its peers, and what it tells them. It has no sockets, thread or clock of
- * its own, so that whole fleets run in virtual time. State belongs to the control thread.
+ * Keeps a router's view of its fleet up to date from the store and from its peers, and reports to the peers. It has no
+ * sockets, thread or clock of its own, so that tests can run whole fleets in virtual time. Mutable state is confined to
+ * the control thread.
  */
 final class ControlPlane {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlane.class);
 
     private final ControlThread thread;
     private final MonotonicClock clock;
-    private final Runnable whenComplete;
+    private final Runnable onRoutable;
     private final RegionMap regions;
     private final ConfigurationTracker configuration;
     private final DirectoryTracker directory = new DirectoryTracker();
@@ -49,9 +50,9 @@
     private final SuspectSource suspects;
     private final StoreFollower follower;
     private final PeerExchange peers;
-    private final RegistryCleaner cleaner;
+    private final RegistryCleaner registryCleaner;
     private final Registration registration;
-    private final QuarantineKeeper quarantine;
+    private final QuarantinePersistence quarantine;
     private final StoreRestore restore;
     private final Flux<Long> eras;
     private final StoreReadings readings;
@@ -59,18 +60,19 @@
     private long configurationSinceMillis;
 
     /**
-     * Creates one that knows nothing.
+     * Creates a control plane with an empty view.
      *
      * @param thread the control thread
-     * @param clock the clock
+     * @param clock the monotonic clock
      * @param source the store
      * @param self this router
-     * @param decoder reads configurations
-     * @param work the work in flight
-     * @param suspects the requests that may end their endpoints
-     * @param regions where data centres stand
-     * @param metrics where counters are kept
-     * @param whenComplete called on the control thread when requests can be routed, and with each news after that
+     * @param decoder decodes configurations
+     * @param work the work in flight of this router and its group
+     * @param suspects the requests that are suspected of crashing their endpoints
+     * @param regions the region of each data centre
+     * @param metrics the registry of the metrics
+     * @param onRoutable called on the control thread once requests can be routed, and after each later change of the
+     *     view
      */
     ControlPlane(
             ControlThread thread,
@@ -82,10 +84,10 @@
             SuspectSource suspects,
             RegionMap regions,
             MeterRegistry metrics,
-            Runnable whenComplete) {
+            Runnable onRoutable) {
         this.thread = thread;
         this.clock = clock;
-        this.whenComplete = whenComplete;
+        this.onRoutable = onRoutable;
         this.suspects = suspects;
         this.regions = regions;
         this.configuration = new ConfigurationTracker(decoder);
@@ -96,11 +98,11 @@
         this.readings = new StoreReadings(metrics, era);
         this.eras = source.eras();
         this.follower = new StoreFollower(
-                thread, clock, source, fleet, new UnusableEntries(metrics), readings, new StoreNews());
-        this.cleaner = new RegistryCleaner(source);
+                thread, clock, source, fleet, new UnusableEntries(metrics), readings, new StoreListener());
+        this.registryCleaner = new RegistryCleaner(source);
         this.registration = new Registration(thread, source, self);
-        this.quarantine = new QuarantineKeeper(thread, clock, source, storeClock, suspects);
-        this.peers = new PeerExchange(thread, clock, self, work, suspects, fleet, new PeerNews());
+        this.quarantine = new QuarantinePersistence(thread, clock, source, storeClock, suspects);
+        this.peers = new PeerExchange(thread, clock, self, work, suspects, fleet, new PeerListener());
         this.restore = new StoreRestore(readings, follower, registration, quarantine, peers);
         Gauge.builder(
                         "radishpass.datacentres.drained",
@@ -120,15 +122,15 @@
     void start() {
         eras.publishOn(thread.scheduler()).subscribe(era -> restore.eraTold(era, DirectoryOrigin.STORE));
         follower.start();
-        suspects.onSuspects(new SuspectNews());
-        thread.run(quarantine::read);
+        suspects.onSuspects(new SuspectReportListener());
+        thread.run(quarantine::load);
     }
 
     /**
-     * Joins the peers. Called on the control thread.
+     * Connects this router to its peers, and registers it in the store. Called on the control thread.
      *
-     * @param links the links to them
-     * @param seeds where other routers may listen, known beforehand
+     * @param links sends messages to peers
+     * @param seeds addresses where other routers may listen for peers
      */
     void join(PeerLinks links, List<Address> seeds) {
         peers.start(links);
@@ -137,32 +139,38 @@
         publish();
     }
 
-    /** Returns what takes peers' messages. */
+    /** Returns the handler of messages from peers. */
     PeerHandler handler() {
         return peers;
     }
 
-    /** Returns the first message on each link. */
+    /** Returns the message that opens each connection to a peer. */
     PeerMessage introduction() {
         return peers.introduction();
     }
 
-    /** Returns the view of now; from any thread. */
+    /** Returns the current routing view. May be called from any thread. */
     RoutingView view() {
         return view;
     }
 
-    /** Tells peers that look for it in the store no longer of this router. */
+    /**
+     * Removes this router's registration from the store, so that starting routers no longer find it there. May be
+     * called from any thread.
+     */
     void leave() {
         thread.run(registration::remove);
     }
 
-    /** Learns from an answer that an endpoint's address belongs to another one now. */
-    void gone(String endpointId) {
+    /**
+     * Records that an answer came from another endpoint than the one listed at its address. May be called from any
+     * thread.
+     */
+    void endpointGone(String endpointId) {
         thread.run(() -> {
             if (directory.gone(endpointId)) {
                 LOG.info(
-                        "the address of endpoint {} belongs to another one now",
+                        "endpoint {} is treated as leaving, because its address now belongs to another endpoint",
                         endpointId,
                         LogEvent.ENDPOINT_GONE.field());
                 publish();
@@ -170,12 +178,12 @@
         });
     }
 
-    /** Learns from an answer of an endpoint that it is leaving. */
-    void leaving(String endpointId) {
+    /** Records that an endpoint stated in an answer that it is leaving. May be called from any thread. */
+    void endpointLeaving(String endpointId) {
         thread.run(() -> {
             if (directory.statedLeaving(endpointId)) {
                 publish();
-                peers.tellNow();
+                peers.reportNow();
             }
         });
     }
@@ -190,11 +198,11 @@
                 directory.known(),
                 follower.arriving(),
                 directory.origin(),
-                peers.started() ? peers.routers() : RoutingView.ROUTERS_UNKNOWN,
+                peers.started() ? peers.routerCount() : RoutingView.ROUTERS_UNKNOWN,
                 eligibility(),
-                peers.started() && registration.done() ? peers.members() : FleetMembers.UNKNOWN);
+                peers.started() && registration.registered() ? peers.members() : FleetMembers.UNKNOWN);
         if (view.complete()) {
-            whenComplete.run();
+            onRoutable.run();
         }
     }
 
@@ -210,7 +218,7 @@
 
     private void drainsChanged(String origin) {
         LOG.info(
-                "data centres whose endpoints get nothing new: {}, from {}",
+                "drained data centres, whose endpoints get no new requests: {}; reported by {}",
                 drains.drained(),
                 origin,
                 LogEvent.DRAINS.field(),
@@ -222,11 +230,11 @@
                                         + change.drain().position())
                                 .toList()));
         publish();
-        peers.tellNow();
+        peers.reportNow();
     }
 
-    /** Hears what the store brought. */
-    private final class StoreNews implements StoreFollower.Listener {
+    /** Applies what was read from the store. */
+    private final class StoreListener implements StoreFollower.Listener {
         @Override
         public void eraRead(long era) {
             restore.eraTold(era, DirectoryOrigin.STORE);
@@ -252,7 +260,7 @@
         public void configurationChanged() {
             configurationSinceMillis = clock.millis();
             publish();
-            peers.tellNow();
+            peers.reportNow();
         }
 
         @Override
@@ -263,7 +271,7 @@
         @Override
         public void directoryRead() {
             publish();
-            peers.tellNow();
+            peers.reportNow();
         }
 
         @Override
@@ -277,28 +285,30 @@
         }
     }
 
-    /** Hears what this router has found out of requests that may end their endpoints. */
-    private final class SuspectNews implements SuspectListener {
+    /**
+     * Distributes and saves what this router finds out about requests that are suspected of crashing their endpoints.
+     */
+    private final class SuspectReportListener implements SuspectListener {
         @Override
-        public void found(SuspectReport news) {
-            thread.run(() -> peers.tellSuspects(news));
+        public void found(SuspectReport report) {
+            thread.run(() -> peers.reportSuspects(report));
         }
 
         @Override
         public void quarantined(Suspect suspect) {
-            thread.run(() -> quarantine.quarantined(suspect));
+            thread.run(() -> quarantine.save(suspect));
         }
 
         @Override
         public void released(RequestFingerprint request) {
-            thread.run(() -> quarantine.released(request));
+            thread.run(() -> quarantine.remove(request));
         }
     }
 
-    /** Hears what peers brought. */
-    private final class PeerNews implements PeerExchange.Listener {
+    /** Applies what peers reported. */
+    private final class PeerListener implements PeerExchange.Listener {
         @Override
-        public void storeEraTold(long era, String origin) {
+        public void storeEraReceived(long era, String origin) {
             restore.eraTold(era, origin);
         }
 
@@ -308,7 +318,7 @@
         }
 
         @Override
-        public void configurationOffered(byte[] content, String origin) {
+        public void configurationReceived(byte[] content, String origin) {
             follower.offer(content, origin);
         }
 
@@ -320,12 +330,12 @@
         @Override
         public void endpointsLeaving(List<String> endpointIds, String origin) {
             endpointIds.forEach(id -> LOG.info(
-                    "endpoint {} is draining, as its answer to another router stated",
+                    "endpoint {} is leaving, as it stated in an answer to another router",
                     id,
                     LogEvent.ENDPOINT_LEAVING.field(),
                     kv("source", origin)));
             publish();
-            peers.tellNow();
+            peers.reportNow();
         }
 
         @Override
@@ -334,15 +344,15 @@
         }
 
         @Override
-        public void routersChanged() {
+        public void routersAdded() {
             publish();
         }
 
         @Override
-        public void routersForgotten(List<FleetRouter> routers) {
+        public void routersExpired(List<FleetRouter> routers) {
             publish();
             if (peers.duty().readsDirectory()) {
-                cleaner.clean(routers).subscribe();
+                registryCleaner.clean(routers).subscribe();
             }
         }
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fetches the configuration and the endpoint list from peers that have newer ones, and gives them to peers. The second way
- * to both, beside the store. State belongs to the control thread.
+ * Fetches the configuration and the endpoint list from peers that have newer versions, and serves both to peers. This
+ * is the second source of both documents, next to the store. State is confined to the control thread.
  */
 final class DocumentExchange {
     private static final Logger LOG = LoggerFactory.getLogger(DocumentExchange.class);
@@ -27,13 +27,16 @@
     private static final String ENDPOINTS = "endpoints";
 
     /**
-     * How long the store is waited for before a peer is asked for a configuration: the store answers all routers at once, and
-     * a peer that has to give it to a whole group is slow to do so. A configuration is to be in force within 2 s.
+     * How long a router waits for the store before it asks a peer for a configuration. The store answers all routers at
+     * once, while a peer that serves a whole group is slow. A configuration must be in force within 2 s.
      */
-    private static final Duration STORE_FIRST = Duration.ofMillis(350);
+    private static final Duration STORE_HEAD_START = Duration.ofMillis(350);
 
-    /** Milliseconds by which a reading must be later to count as another one: a third of the pace of readings. */
-    private static final long LATER_MILLIS = 300;
+    /**
+     * Minimum milliseconds by which a reading of the store must be later to count as a new reading: a third of the
+     * interval between readings.
+     */
+    private static final long MIN_READING_GAP_MILLIS = 300;
 
     private final ControlThread thread;
     private final MonotonicClock clock;
@@ -42,7 +45,7 @@
     private final StoreClock storeClock;
     private final StoreEra era;
     private final PeerExchange.Listener listener;
-    private final FetchBook fetches = new FetchBook();
+    private final PendingFetches fetches = new PendingFetches();
     private final DocumentPacker packer = new DocumentPacker();
 
     DocumentExchange(ControlThread thread, MonotonicClock clock, FleetView fleet, PeerExchange.Listener listener) {
@@ -56,20 +59,20 @@
     }
 
     /**
-     * Compares what a peer has with what this router has, and fetches what is newer there.
+     * Compares the state of a peer with the state of this router, and fetches the documents that are newer at the peer.
      *
-     * @param links sends to peers
+     * @param links sends messages to peers
      * @param peer the peer
-     * @param state what it told
-     * @param storeTells whether the store tells this router of newer configurations
-     * @return whether this router's list is confirmed as of a later reading
+     * @param state the state that the peer reported
+     * @param readsConfiguration whether this router learns of newer configurations from the store
+     * @return whether the peer confirmed this router's endpoint list with a later reading of the store
      */
-    boolean compare(PeerLinks links, Peer peer, RoutingMessage.RoutingState state, boolean storeTells) {
+    boolean fetchNewer(PeerLinks links, Peer peer, RoutingMessage.RoutingState state, boolean readsConfiguration) {
         if (configuration.heardOf(state.configuration(), clock.millis())) {
             listener.newerConfigurationExists();
         }
         if (state.configuration() > configuration.version()) {
-            Duration wait = storeTells && configuration.version() >= 0 ? STORE_FIRST : Duration.ZERO;
+            Duration wait = readsConfiguration && configuration.version() >= 0 ? STORE_HEAD_START : Duration.ZERO;
             fetch(links, peer, CONFIGURATION, wait, () -> state.configuration() > configuration.version());
         }
         ListReading reading = peer.listReading();
@@ -79,9 +82,9 @@
         long nowMillis = clock.millis();
         if (directory.known() && state.directoryHash() == directory.hash()) {
             long readAtMillis = storeClock.earliest(reading.storeMillis(), nowMillis);
-            boolean later = readAtMillis - directory.readAtMillis() > LATER_MILLIS;
+            boolean laterReading = readAtMillis - directory.readAtMillis() > MIN_READING_GAP_MILLIS;
             directory.confirmed(reading, readAtMillis, peer.id());
-            return later;
+            return laterReading;
         }
         if (reading.position().known()) {
             fetch(links, peer, ENDPOINTS, Duration.ZERO, () -> reading.supersedes(directory.reading()));
@@ -90,17 +93,17 @@
     }
 
     /**
-     * Asks a peer that has made itself known for what this router lacks altogether. After a start it would hear only later what the
-     * peer has.
+     * Fetches the configuration from a newly introduced peer if this router has none yet. Otherwise a router that
+     * starts would have to wait for the peer's next state message.
      */
-    void met(PeerLinks links, Peer peer) {
+    void fetchMissing(PeerLinks links, Peer peer) {
         if (configuration.version() < 0) {
             fetch(links, peer, CONFIGURATION, Duration.ZERO, () -> configuration.version() < 0);
         }
     }
 
-    /** Gives a document to a peer. */
-    RoutingMessage.Document document(RoutingMessage.DocumentWanted wanted) throws IOException {
+    /** Returns the document that a peer asked for. */
+    RoutingMessage.Document serve(RoutingMessage.DocumentWanted wanted) throws IOException {
         if (wanted.name().equals(CONFIGURATION)) {
             return RoutingMessage.Document.of(wanted.name(), configuration.version(), configurationFor(wanted));
         }
@@ -123,12 +126,12 @@
                         "");
     }
 
-    private void fetch(PeerLinks links, Peer peer, String name, Duration wait, BooleanSupplier wanted) {
-        if (!fetches.begin(name, peer.id(), clock.millis() + wait.toMillis())) {
+    private void fetch(PeerLinks links, Peer peer, String name, Duration wait, BooleanSupplier stillNeeded) {
+        if (!fetches.tryBegin(name, peer.id(), clock.millis() + wait.toMillis())) {
             return;
         }
         thread.after(wait, () -> {
-            if (wanted.getAsBoolean()) {
+            if (stillNeeded.getAsBoolean()) {
                 request(links, peer, name);
             } else {
                 fetches.end(name, peer.id());
@@ -144,7 +147,11 @@
                 .doFinally(signal -> thread.run(() -> fetches.end(name, peer.id())))
                 .subscribe(
                         answer -> received(peer, base, answer),
-                        error -> LOG.info("router {} did not give its {}: {}", peer.id(), name, error.toString()));
+                        error -> LOG.info(
+                                "fetching from router {} the document {} failed: {}",
+                                peer.id(),
+                                name,
+                                error.toString()));
     }
 
     private void received(Peer peer, SharedDocument base, PeerMessage answer) {
@@ -154,20 +161,24 @@
         try {
             byte[] content = document.packed().unpack(base).bytes();
             if (document.name().equals(CONFIGURATION)) {
-                listener.configurationOffered(content, "router " + peer.id());
+                listener.configurationReceived(content, "router " + peer.id());
             } else {
-                take(peer, EndpointListCodec.decode(content).resolved(era));
+                adoptList(peer, EndpointListCodec.decode(content).resolved(era));
             }
         } catch (IOException e) {
-            LOG.error("router {} gave a document named {} that cannot be read", peer.id(), document.name(), e);
+            LOG.error(
+                    "router {} sent a document named {} that cannot be decoded; it is ignored",
+                    peer.id(),
+                    document.name(),
+                    e);
         }
     }
 
-    private void take(Peer peer, EndpointSnapshot list) {
+    private void adoptList(Peer peer, EndpointSnapshot list) {
         long readAtMillis = storeClock.earliest(list.reading().storeMillis(), clock.millis());
         if (directory.peerListed(list, readAtMillis, peer.id())) {
             LOG.info(
-                    "the endpoints are taken from router {}, as of {}",
+                    "endpoint list replaced by that of router {}, read from the store at {}",
                     peer.id(),
                     list.reading().position(),
                     LogEvent.ENDPOINTS.field());
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/FleetView.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/FleetView.java
@@ -1,12 +1,12 @@
 package org.radishpass.routing.control;
 
 /**
- * A router's view of its deployment; each part belongs to the control thread.
+ * Bundles the trackers of what a router knows of its deployment. All of them belong to the control thread.
  *
- * @param configuration the configuration in force
- * @param directory the endpoints
- * @param drains the data centres that get nothing new
- * @param storeClock how the store's clock relates to this router's
+ * @param configuration tracks the configuration in force
+ * @param directory tracks the endpoints
+ * @param drains tracks the drained data centres, whose endpoints get no new requests
+ * @param storeClock relates the store's clock to this router's clock
  * @param era the era of the store
  */
 record FleetView(
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/GatheringPlan.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/GatheringPlan.java
@@ -11,83 +11,87 @@
 import org.radishpass.routing.fleet.FleetRouter;
 
 /**
- * Who tells whom of work in flight, as one router sees it.
+ * Determines which routers exchange reports of work in flight, as seen by one router.
  *
- * <p>In a small fleet every router tells every other. In a larger one the routers of a data centre tell one of them, the
- * gatherer: the largest that answers. Gatherers tell each other the sums, and their members all that is not their own.
- * Routers need not agree: whoever is told of work gathers it.
+ * <p>In a small fleet every router gathers its own work and reports to every other router. In a larger fleet the
+ * routers of a data centre form a group: each reports to one of them, the gatherer, which is the largest router that
+ * answers. Gatherers exchange the sums of their groups, and send each member all work but the member's own. Routers
+ * need not agree on the gatherer: a router that receives reports of work gathers them.
  *
- * @param gatherer the router that gathers this one's work, or null if it gathers itself
- * @param otherGatherers the routers that are told of this one's group, if it gathers
+ * @param gatherer the router that gathers this router's work, or null if this router is a gatherer
+ * @param peerGatherers the routers to which this router reports its group's work, if it is a gatherer
  */
-record GatheringPlan(@Nullable Peer gatherer, List<Peer> otherGatherers) {
-    /** Routers up to which everyone tells everyone: 15 messages five times a second, about 0.3% of a core. */
-    static final int FLAT_FLEET = 16;
+record GatheringPlan(@Nullable Peer gatherer, List<Peer> peerGatherers) {
+    /**
+     * Largest fleet in which every router reports to every other: 15 messages five times a second, about 0.3% of a
+     * core.
+     */
+    static final int MAX_FULL_MESH_ROUTERS = 16;
 
     /**
-     * Plans.
+     * Creates the plan of a router.
      *
      * @param self this router
      * @param peers the other routers
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     static GatheringPlan of(FleetRouter self, Collection<Peer> peers, long nowMillis) {
-        if (peers.size() < FLAT_FLEET) {
+        if (peers.size() < MAX_FULL_MESH_ROUTERS) {
             return new GatheringPlan(
                     null, peers.stream().filter(peer -> !peer.suspected()).toList());
         }
-        Peer first = null;
-        Map<DataCentre, List<Peer>> elsewhere = new LinkedHashMap<>();
-        List<Peer> leaders = new ArrayList<>();
+        Peer largest = null;
+        Map<DataCentre, List<Peer>> otherGroups = new LinkedHashMap<>();
+        List<Peer> gatherers = new ArrayList<>();
         for (Peer peer : peers) {
             if (peer.suspected() || !peer.router().located()) {
                 continue;
             }
             if (!peer.router().dataCentre().equals(self.dataCentre())) {
-                elsewhere
-                        .computeIfAbsent(peer.router().dataCentre(), place -> new ArrayList<>())
+                otherGroups
+                        .computeIfAbsent(peer.router().dataCentre(), dataCentre -> new ArrayList<>())
                         .add(peer);
                 continue;
             }
-            if (peer.leads(nowMillis)) {
-                leaders.add(peer);
+            if (peer.isGatherer(nowMillis)) {
+                gatherers.add(peer);
             }
-            if (before(peer.router(), first == null ? self : first.router())) {
-                first = peer;
+            if (precedes(peer.router(), largest == null ? self : largest.router())) {
+                largest = peer;
             }
         }
-        if (first != null) {
-            return new GatheringPlan(first, List.of());
+        if (largest != null) {
+            return new GatheringPlan(largest, List.of());
         }
-        elsewhere.values().forEach(group -> leaders.addAll(leadersOf(group, nowMillis)));
-        return new GatheringPlan(null, leaders);
+        otherGroups.values().forEach(group -> gatherers.addAll(gatherersOf(group, nowMillis)));
+        return new GatheringPlan(null, gatherers);
     }
 
-    /** Returns the router that gathers this one's work, if it does not do so itself. */
-    Optional<Peer> otherGatherer() {
+    /** Returns the router that gathers this router's work, or nothing if this router is a gatherer. */
+    Optional<Peer> ownGatherer() {
         return Optional.ofNullable(gatherer);
     }
 
-    /** Tells whether this router gathers. */
+    /** Tells whether this router gathers its own work. */
     boolean gathers() {
         return gatherer == null;
     }
 
-    /** Those that speak for the group; before any does, the one that should. */
-    private static List<Peer> leadersOf(List<Peer> group, long nowMillis) {
-        List<Peer> leading =
-                group.stream().filter(peer -> peer.leads(nowMillis)).toList();
-        if (!leading.isEmpty()) {
-            return leading;
+    /** Returns the routers of a group that act as gatherers, or else the router that should become the gatherer. */
+    private static List<Peer> gatherersOf(List<Peer> group, long nowMillis) {
+        List<Peer> gatherers =
+                group.stream().filter(peer -> peer.isGatherer(nowMillis)).toList();
+        if (!gatherers.isEmpty()) {
+            return gatherers;
         }
-        Peer first = group.get(0);
+        Peer largest = group.get(0);
         for (Peer peer : group) {
-            first = before(peer.router(), first.router()) ? peer : first;
+            largest = precedes(peer.router(), largest.router()) ? peer : largest;
         }
-        return List.of(first);
+        return List.of(largest);
     }
 
-    private static boolean before(FleetRouter one, FleetRouter other) {
+    private static boolean precedes(FleetRouter one, FleetRouter other) {
         return FleetRouter.BY_DUTY.compare(one, other) < 0;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
@@ -5,40 +5,43 @@
 import org.radishpass.routing.fleet.FleetRouter;
 
 /**
- * What is known of one other router. Times are on the monotonic clock in milliseconds; {@link #NEVER} where something has
- * not happened. Belongs to the control thread.
+ * Holds what this router knows of one other router. Times are in milliseconds on the monotonic clock, or {@link #NEVER}
+ * if the event has not happened. Confined to the control thread.
  */
 final class Peer {
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Milliseconds without an answer after which a peer is suspected to be gone: seven messages. */
-    static final long SILENT_MILLIS = 1_500;
+    /** Milliseconds without a reply after which a peer is suspected to be down: the time of seven messages. */
+    static final long REPLY_TIMEOUT_MILLIS = 1_500;
 
-    /** Milliseconds for which a peer's last message tells what it does: the same seven messages. */
-    static final long PRESENT_MILLIS = SILENT_MILLIS;
+    /** Milliseconds for which a peer's last message counts as its current role: the time of seven messages, too. */
+    static final long ACTIVE_MILLIS = REPLY_TIMEOUT_MILLIS;
 
-    /** Milliseconds until a suspected peer is tried again; doubles with each try. */
-    private static final long FIRST_PROBE_MILLIS = 1_000;
+    /** Pause in milliseconds until the first probe of a suspected peer. It doubles with each probe. */
+    private static final long MIN_PROBE_PAUSE_MILLIS = 1_000;
 
-    /** The longest such pause in milliseconds; registrations of routers that are gone for good cost little then. */
-    private static final long LONGEST_PROBE_MILLIS = 8_000;
+    /**
+     * Longest pause between probes in milliseconds. At this pace, probing registered routers that are gone for good
+     * costs little.
+     */
+    private static final long MAX_PROBE_PAUSE_MILLIS = 8_000;
 
     private FleetRouter router;
-    private long heardAtMillis = NEVER;
-    private long mentionedAtMillis;
-    private long ledAtMillis = NEVER;
+    private long lastContactAtMillis = NEVER;
+    private long lastMentionedAtMillis;
+    private long gathererAtMillis = NEVER;
     private long memberAtMillis = NEVER;
-    private long askedAtMillis = NEVER;
+    private long replyExpectedSinceMillis = NEVER;
     private ListReading listReading = ListReading.NONE;
     private long ownReadStoreMillis = StoreClock.NEVER;
     private long suspectedAtMillis = NEVER;
     private long probeAtMillis = NEVER;
-    private long probePauseMillis = FIRST_PROBE_MILLIS;
+    private long probePauseMillis = MIN_PROBE_PAUSE_MILLIS;
     private boolean suspected;
 
     Peer(FleetRouter router, long nowMillis) {
         this.router = router;
-        this.mentionedAtMillis = nowMillis;
+        this.lastMentionedAtMillis = nowMillis;
     }
 
     FleetRouter router() {
@@ -53,103 +56,112 @@
         return new Vm(id(), router.dataCentre(), router.address(), false);
     }
 
-    /** Takes what somebody says of it; what is known is not forgotten. */
-    void mentioned(FleetRouter said, long nowMillis) {
-        mentionedAtMillis = nowMillis;
-        if (said.located()) {
-            router = said;
+    /**
+     * Records that a third party mentioned this peer. An entry without a data centre does not replace a located one.
+     */
+    void recordMention(FleetRouter entry, long nowMillis) {
+        lastMentionedAtMillis = nowMillis;
+        if (entry.located()) {
+            router = entry;
         }
     }
 
-    /** Notes a message of its work, with the reading that its list rests on; returns whether it was suspected until now. */
-    boolean told(RoutingMessage.RoutingState state, ListReading reading, long nowMillis) {
+    /**
+     * Records a state message of this peer and the store reading on which the peer's endpoint list is based. Returns
+     * whether the peer was suspected until now.
+     */
+    boolean recordState(RoutingMessage.RoutingState state, ListReading reading, long nowMillis) {
         listReading = reading;
         ownReadStoreMillis = state.ownReadMillis();
         if (state.scope().leads()) {
-            ledAtMillis = nowMillis;
+            gathererAtMillis = nowMillis;
         } else {
             memberAtMillis = nowMillis;
         }
-        return heard(nowMillis);
+        return recordContact(nowMillis);
     }
 
-    /** Notes any sign of life; returns whether it was suspected until now. */
-    boolean heard(long nowMillis) {
-        boolean news = suspected;
-        heardAtMillis = nowMillis;
-        mentionedAtMillis = nowMillis;
-        askedAtMillis = NEVER;
+    /** Records any message of this peer. Returns whether the peer was suspected until now. */
+    boolean recordContact(long nowMillis) {
+        boolean wasSuspected = suspected;
+        lastContactAtMillis = nowMillis;
+        lastMentionedAtMillis = nowMillis;
+        replyExpectedSinceMillis = NEVER;
         suspected = false;
-        probePauseMillis = FIRST_PROBE_MILLIS;
-        return news;
+        probePauseMillis = MIN_PROBE_PAUSE_MILLIS;
+        return wasSuspected;
     }
 
-    /** Notes that something was sent to which it answers if it lives. */
-    void asked(long nowMillis) {
-        if (askedAtMillis == NEVER) {
-            askedAtMillis = nowMillis;
+    /** Records that a message was sent to which a live peer replies. */
+    void expectReply(long nowMillis) {
+        if (replyExpectedSinceMillis == NEVER) {
+            replyExpectedSinceMillis = nowMillis;
         }
     }
 
-    /** Notes that it cannot be reached; returns whether that is news. */
-    boolean suspect(long nowMillis) {
-        boolean news = !suspected;
+    /**
+     * Marks this peer as suspected to be down, and schedules the next probe. Returns whether the peer was not suspected
+     * until now.
+     */
+    boolean markSuspected(long nowMillis) {
+        boolean newlySuspected = !suspected;
         suspected = true;
-        askedAtMillis = NEVER;
+        replyExpectedSinceMillis = NEVER;
         suspectedAtMillis = nowMillis;
         probeAtMillis = nowMillis + probePauseMillis;
-        probePauseMillis = Math.min(LONGEST_PROBE_MILLIS, 2 * probePauseMillis);
-        return news;
+        probePauseMillis = Math.min(MAX_PROBE_PAUSE_MILLIS, 2 * probePauseMillis);
+        return newlySuspected;
     }
 
     boolean suspected() {
         return suspected;
     }
 
-    /** Tells whether it has owed an answer for too long. */
-    boolean silent(long nowMillis) {
-        return askedAtMillis != NEVER && nowMillis - askedAtMillis > SILENT_MILLIS;
+    /** Tells whether this peer has not replied in time. */
+    boolean replyOverdue(long nowMillis) {
+        return replyExpectedSinceMillis != NEVER && nowMillis - replyExpectedSinceMillis > REPLY_TIMEOUT_MILLIS;
     }
 
     /**
-     * Tries it soon if it is suspected, since there are signs that a cut has ended; at most once in {@link #FIRST_PROBE_MILLIS}. By the
-     * pauses alone two sides of a cut heard nothing of each other for up to 8 s after it.
+     * Brings the next probe forward because a network partition seems to have ended, but keeps at least {@link
+     * #MIN_PROBE_PAUSE_MILLIS} between probes. With the regular pauses alone, the two sides of a partition did not find
+     * each other for up to 8 s after its end.
      */
     void probeSoon(long nowMillis) {
-        probeAtMillis = Math.min(probeAtMillis, Math.max(nowMillis, suspectedAtMillis + FIRST_PROBE_MILLIS));
+        probeAtMillis = Math.min(probeAtMillis, Math.max(nowMillis, suspectedAtMillis + MIN_PROBE_PAUSE_MILLIS));
     }
 
-    /** Tells whether it is to be tried now, although it is suspected. */
+    /** Tells whether this peer is suspected and its next probe is due. */
     boolean probeDue(long nowMillis) {
         return suspected && nowMillis >= probeAtMillis;
     }
 
-    /** Tells whether it spoke for a group lately. */
-    boolean leads(long nowMillis) {
-        return nowMillis - ledAtMillis <= PRESENT_MILLIS;
+    /** Tells whether this peer has recently reported the work of a group. */
+    boolean isGatherer(long nowMillis) {
+        return nowMillis - gathererAtMillis <= ACTIVE_MILLIS;
     }
 
-    /** Tells whether it told its own work lately, for this router to gather. */
-    boolean member(long nowMillis) {
-        return nowMillis - memberAtMillis <= PRESENT_MILLIS;
+    /** Tells whether this peer has recently reported its own work for this router to gather. */
+    boolean isMember(long nowMillis) {
+        return nowMillis - memberAtMillis <= ACTIVE_MILLIS;
     }
 
-    /** Returns when it was seen last, by itself or in what others told. */
-    long mentionedAtMillis() {
-        return mentionedAtMillis;
+    /** Returns when this peer last sent a message or was mentioned by another router. */
+    long lastMentionedAtMillis() {
+        return lastMentionedAtMillis;
     }
 
-    /** Returns when it was heard itself. */
-    long heardAtMillis() {
-        return heardAtMillis;
+    /** Returns when this peer itself last sent a message. */
+    long lastContactAtMillis() {
+        return lastContactAtMillis;
     }
 
-    /** Returns the reading that its list of endpoints rests on. */
+    /** Returns the store reading on which the peer's endpoint list is based. */
     ListReading listReading() {
         return listReading;
     }
 
-    /** Returns when it read the store itself, on the store's clock in milliseconds. */
+    /** Returns when this peer itself last read the store, in milliseconds on the store's clock. */
     long ownReadStoreMillis() {
         return ownReadStoreMillis;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
@@ -26,13 +26,14 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What this router hears from others: who they are, their work in flight, and by {@link DocumentExchange} what is newer than
- * what it has. {@link WorkTeller} tells in turn. State belongs to the control thread.
+ * Handles messages from other routers: introductions, work in flight, and suspected requests. {@link DocumentExchange}
+ * fetches the documents that a peer has in a newer version, and {@link WorkReporter} sends reports in turn. State is
+ * confined to the control thread.
  */
 final class PeerExchange implements PeerHandler {
     private static final Logger LOG = LoggerFactory.getLogger(PeerExchange.class);
 
-    /** Milliseconds between ticks. */
+    /** Milliseconds between ticks, at which lost peers are detected and reports are sent. */
     private static final long TICK_MILLIS = 100;
 
     private final ControlThread thread;
@@ -42,12 +43,12 @@
     private final SuspectSource suspects;
     private final FleetView fleet;
     private final Listener listener;
-    private final PeerBook peers;
-    private final ReaderChoice readers;
+    private final PeerTable peers;
+    private final ReaderElection readerElection;
     private final DocumentExchange documents;
     private @Nullable PeerLinks links;
-    private @Nullable WorkTeller teller;
-    private @Nullable SuspectTeller suspectTeller;
+    private @Nullable WorkReporter workReporter;
+    private @Nullable SuspectReporter suspectReporter;
 
     PeerExchange(
             ControlThread thread,
@@ -64,173 +65,187 @@
         this.suspects = suspects;
         this.fleet = fleet;
         this.listener = listener;
-        this.peers = new PeerBook(self);
-        this.readers = new ReaderChoice(clock, self, peers, fleet.directory(), fleet.storeClock());
+        this.peers = new PeerTable(self);
+        this.readerElection = new ReaderElection(clock, self, peers, fleet.directory(), fleet.storeClock());
         this.documents = new DocumentExchange(thread, clock, fleet, listener);
     }
 
-    /** Starts to tell. */
+    /** Starts to report to the peers. */
     void start(PeerLinks peerLinks) {
         this.links = peerLinks;
-        this.suspectTeller = new SuspectTeller(thread, clock, self, suspects, peers, peerLinks);
-        this.teller = new WorkTeller(thread, clock, self, work, fleet, peers, peerLinks);
+        this.suspectReporter = new SuspectReporter(thread, clock, self, suspects, peers, peerLinks);
+        this.workReporter = new WorkReporter(thread, clock, self, work, fleet, peers, peerLinks);
         thread.every(Duration.ofMillis(TICK_MILLIS), this::tick);
     }
 
-    /** Tells whether it has been started: before that, other routers are not known. */
+    /** Tells whether the exchange has been started. Before that, other routers are not known. */
     boolean started() {
         return links != null;
     }
 
-    /** Returns the first message on each connection. */
+    /** Returns the message that opens each connection to a peer. */
     PeerMessage introduction() {
-        return new RoutingMessage.Introduction(PeerStates.entry(self));
+        return new RoutingMessage.Introduction(RoutingMessageMapper.toEntry(self));
     }
 
-    /** Learns of routers from the store, the settings or a peer; new ones are introduced to each other. */
+    /**
+     * Adds routers named by the store, the settings or a peer. Router lists with the new ones are sent with the next
+     * tick, and a new router of which only the address is known is asked for its details.
+     */
     void learn(Collection<FleetRouter> routers) {
-        List<Peer> news = peers.learn(routers, clock.millis());
-        if (news.isEmpty()) {
+        List<Peer> added = peers.learn(routers, clock.millis());
+        if (added.isEmpty()) {
             return;
         }
-        listener.routersChanged();
-        teller().ifPresent(WorkTeller::routersChanged);
-        news.stream().filter(peer -> !peer.router().located()).forEach(this::meet);
+        listener.routersAdded();
+        workReporter().ifPresent(WorkReporter::scheduleRouterLists);
+        added.stream().filter(peer -> !peer.router().located()).forEach(this::introduceTo);
     }
 
-    /** Learns of routers by their address alone; they are asked who they are. */
+    /** Adds routers of which only the address is known, and asks them for their details. */
     void learnAddresses(List<Address> addresses) {
         learn(addresses.stream().map(FleetRouter::unlocated).toList());
     }
 
-    /** Returns the number of routers, this one included. */
-    int routers() {
-        return peers.routers();
+    /** Returns the number of known routers, including this router. */
+    int routerCount() {
+        return peers.routerCount();
     }
 
-    /** Returns all routers that are known, those included that are suspected to be gone. */
+    /** Returns all known routers, including those that are suspected to be down. */
     FleetMembers members() {
         return FleetMembers.of(self.id(), peers.all().stream().map(Peer::id).toList());
     }
 
-    /** Tells what this router has found out of requests that may end their endpoints. */
-    void tellSuspects(SuspectReport news) {
-        suspectTeller().ifPresent(known -> known.found(news));
+    /** Reports what this router has found out about requests that are suspected of crashing their endpoints. */
+    void reportSuspects(SuspectReport report) {
+        suspectReporter().ifPresent(reporter -> reporter.reportFound(report));
     }
 
     /**
-     * Returns how long this router lets others go first with what all have to do.
+     * Returns how long this router waits before an action that all routers perform after the same event.
      *
-     * @param event a number of the event
+     * @param event a number that identifies the event
      */
-    Duration turn(long event) {
-        return FleetTurn.delay(peers.before(), peers.routers(), Rendezvous.hash(self.id()), event);
+    Duration staggeredDelay(long event) {
+        return StaggeredDelay.delay(peers.precedingPeers(), peers.routerCount(), Rendezvous.hash(self.id()), event);
     }
 
-    /** Tells at once that there is something newer. */
-    void tellNow() {
-        teller().ifPresent(WorkTeller::tellNow);
+    /** Reports to the peers at once, because this router has something newer. */
+    void reportNow() {
+        workReporter().ifPresent(WorkReporter::reportNow);
     }
 
     @Override
     public Mono<PeerMessage> handle(String from, PeerMessage message) {
         if (message instanceof RoutingMessage.RoutingState state) {
-            work.peerTold(from, state.scope(), PeerStates.work(state), state.failing());
-            return later(() -> told(from, state));
+            work.peerTold(from, state.scope(), RoutingMessageMapper.toWork(state), state.failing());
+            return runOnControlThread(() -> onState(from, state));
         }
         if (message instanceof RoutingMessage.Introduction introduction) {
-            return later(() -> introduced(introduction.router()));
+            return runOnControlThread(() -> onIntroduction(introduction.router()));
         }
         if (message instanceof RoutingMessage.RouterList list) {
-            return later(() -> listed(from, list));
+            return runOnControlThread(() -> onRouterList(from, list));
         }
-        if (message instanceof RoutingMessage.SuspectRequests told) {
-            return later(() -> suspectTeller().ifPresent(known -> known.told(from, told)));
+        if (message instanceof RoutingMessage.SuspectRequests suspectRequests) {
+            return runOnControlThread(
+                    () -> suspectReporter().ifPresent(reporter -> reporter.onMessage(from, suspectRequests)));
         }
         if (message instanceof RoutingMessage.DocumentWanted wanted) {
-            return thread.call(() -> documents.document(wanted));
+            return thread.call(() -> documents.serve(wanted));
         }
         return Mono.empty();
     }
 
     /**
-     * A peer has ended, as far as its connections tell. What is open to it stays: were it closed too, a peer that lives would notice, close
-     * its own, and two routers that stood still for a while closed and dialled each other's connections up to 300 times a second
-     * ever after, a tenth of a core each.
+     * Marks a peer as suspected because a connection from it has ended. This router's own connection to the peer stays
+     * open. If it were closed too, a live peer would notice and close its own. Two routers that had been frozen for a
+     * while then closed and redialled each other's connections without end, up to 300 times a second, for a tenth of a
+     * core each.
      */
     @Override
     public void disconnected(String from) {
-        LOG.info("the connection from router {} has ended", from, LogEvent.PEER_DISCONNECTED.field());
-        thread.run(() ->
-                peers.find(from).filter(peer -> peer.suspect(clock.millis())).ifPresent(PeerExchange::logLost));
+        LOG.info(
+                "a connection from router {} has ended; the router counts as down until it sends a message",
+                from,
+                LogEvent.PEER_DISCONNECTED.field());
+        thread.run(() -> peers.find(from)
+                .filter(peer -> peer.markSuspected(clock.millis()))
+                .ifPresent(PeerExchange::logLost));
     }
 
     @Override
     public void unreachable(String peer) {
-        thread.run(() -> suspect(peer));
+        thread.run(() -> markUnreachable(peer));
     }
 
     /** Returns what this router has to read from the store. */
     ReadingDuty duty() {
-        return readers.duty(teller().map(WorkTeller::gathering).orElse(true));
+        return readerElection.duty(workReporter().map(WorkReporter::gathering).orElse(true));
     }
 
-    /** Tries suspected routers soon: this router's own cut, if it was one, has ended. */
+    /**
+     * Brings forward the probes of suspected peers, because this router itself may have been the one that was cut off.
+     */
     void probeSoon() {
         peers.probeSoon(clock.millis());
     }
 
-    private boolean gathersForOthers(long nowMillis) {
-        return peers.all().stream().anyMatch(peer -> peer.member(nowMillis));
+    private boolean hasMembers(long nowMillis) {
+        return peers.all().stream().anyMatch(peer -> peer.isMember(nowMillis));
     }
 
     private PeerLinks links() {
         return Objects.requireNonNull(links, "not started");
     }
 
-    /** Returns what tells others; none before the start, when the store may have answered already. */
-    private Optional<WorkTeller> teller() {
-        return Optional.ofNullable(teller);
+    /** Returns the work reporter, or nothing before the start. The store may answer before that. */
+    private Optional<WorkReporter> workReporter() {
+        return Optional.ofNullable(workReporter);
     }
 
-    private Optional<SuspectTeller> suspectTeller() {
-        return Optional.ofNullable(suspectTeller);
+    private Optional<SuspectReporter> suspectReporter() {
+        return Optional.ofNullable(suspectReporter);
     }
 
-    private Mono<PeerMessage> later(Runnable task) {
+    private Mono<PeerMessage> runOnControlThread(Runnable task) {
         thread.run(task);
         return Mono.empty();
     }
 
-    private void meet(Peer peer) {
-        peer.asked(clock.millis());
-        links().send(peer.vm(), new RoutingMessage.RouterList(List.of(PeerStates.entry(self))));
+    private void introduceTo(Peer peer) {
+        peer.expectReply(clock.millis());
+        links().send(peer.vm(), new RoutingMessage.RouterList(List.of(RoutingMessageMapper.toEntry(self))));
     }
 
-    private void introduced(RoutingMessage.RouterEntry entry) {
-        PeerStates.router(entry).ifPresent(router -> {
+    private void onIntroduction(RoutingMessage.RouterEntry entry) {
+        RoutingMessageMapper.toRouter(entry).ifPresent(router -> {
             learn(List.of(router));
             peers.find(router.id()).ifPresent(peer -> {
-                heard(peer, peer.heard(clock.millis()));
-                links().send(peer.vm(), new RoutingMessage.RouterList(PeerStates.entries(peers.known())));
-                documents.met(links(), peer);
-                suspectTeller().ifPresent(known -> known.met(peer));
+                onContact(peer, peer.recordContact(clock.millis()));
+                links().send(
+                                peer.vm(),
+                                new RoutingMessage.RouterList(
+                                        RoutingMessageMapper.toEntries(peers.unsuspectedRouters())));
+                documents.fetchMissing(links(), peer);
+                suspectReporter().ifPresent(reporter -> reporter.sendAllTo(peer));
             });
-            tellNow();
+            reportNow();
         });
     }
 
-    private void listed(String from, RoutingMessage.RouterList list) {
-        learn(PeerStates.routers(list.routers()));
+    private void onRouterList(String from, RoutingMessage.RouterList list) {
+        learn(RoutingMessageMapper.toRouters(list.routers()));
         peers.find(from).ifPresent(peer -> {
-            heard(peer, peer.heard(clock.millis()));
-            documents.met(links(), peer);
+            onContact(peer, peer.recordContact(clock.millis()));
+            documents.fetchMissing(links(), peer);
         });
     }
 
-    private void told(String from, RoutingMessage.RoutingState state) {
+    private void onState(String from, RoutingMessage.RoutingState state) {
         if (peers.find(from).isEmpty()) {
-            learnAddresses(PeerStates.addresses(List.of(from)));
+            learnAddresses(RoutingMessageMapper.parseAddresses(List.of(from)));
         }
         Optional<Peer> found = peers.find(from);
         if (found.isEmpty()) {
@@ -239,10 +254,10 @@
         Peer peer = found.get();
         long nowMillis = clock.millis();
         if (state.storeEra() != StorePosition.NO_ERA) {
-            listener.storeEraTold(state.storeEra(), "router " + peer.id());
+            listener.storeEraReceived(state.storeEra(), "router " + peer.id());
         }
-        heard(peer, peer.told(state, PeerStates.reading(state, fleet.era()), nowMillis));
-        if (PeerStates.takeDrains(state.drains(), fleet.drains(), fleet.era(), nowMillis)) {
+        onContact(peer, peer.recordState(state, RoutingMessageMapper.toListReading(state, fleet.era()), nowMillis));
+        if (RoutingMessageMapper.applyDrains(state.drains(), fleet.drains(), fleet.era(), nowMillis)) {
             listener.drainsChanged("router " + peer.id());
         }
         List<String> leaving = state.leaving().stream()
@@ -251,76 +266,85 @@
         if (!leaving.isEmpty()) {
             listener.endpointsLeaving(leaving, "router " + peer.id());
         }
-        if (documents.compare(links(), peer, state, duty().readsConfiguration())) {
-            confirmed(nowMillis);
+        if (documents.fetchNewer(links(), peer, state, duty().readsConfiguration())) {
+            onListConfirmed(nowMillis);
         }
     }
 
-    /** A later reading of the same list: placements count its age from then on, and members are told. */
-    private void confirmed(long nowMillis) {
+    /**
+     * Publishes that the endpoint list was confirmed by a later reading. Placements use the list's new age, and members
+     * of this router's group are notified.
+     */
+    private void onListConfirmed(long nowMillis) {
         listener.endpointsChanged();
-        if (gathersForOthers(nowMillis)) {
-            tellNow();
+        if (hasMembers(nowMillis)) {
+            reportNow();
         }
     }
 
-    private void heard(Peer peer, boolean news) {
-        if (news) {
-            LOG.info("router {} answers again", peer.id(), LogEvent.PEER_BACK.field());
-            suspectTeller().ifPresent(known -> known.met(peer));
+    private void onContact(Peer peer, boolean wasSuspected) {
+        if (wasSuspected) {
+            LOG.info(
+                    "router {} sends messages again and is no longer suspected to be down",
+                    peer.id(),
+                    LogEvent.PEER_BACK.field());
+            suspectReporter().ifPresent(reporter -> reporter.sendAllTo(peer));
             probeSoon();
         }
     }
 
-    private void suspect(String id) {
-        peers.find(id).filter(peer -> peer.suspect(clock.millis())).ifPresent(peer -> {
+    private void markUnreachable(String id) {
+        peers.find(id).filter(peer -> peer.markSuspected(clock.millis())).ifPresent(peer -> {
             links().drop(id);
             logLost(peer);
         });
     }
 
     private static void logLost(Peer peer) {
-        LOG.info("router {} does not answer and is left out", peer.id(), LogEvent.PEER_LOST.field());
+        LOG.info(
+                "router {} does not answer; it is suspected to be down and probed until it sends a message",
+                peer.id(),
+                LogEvent.PEER_LOST.field());
     }
 
     private void tick() {
         long nowMillis = clock.millis();
         peers.all().stream()
-                .filter(peer -> peer.silent(nowMillis))
+                .filter(peer -> peer.replyOverdue(nowMillis))
                 .map(Peer::id)
                 .toList()
-                .forEach(this::suspect);
-        List<FleetRouter> forgotten = peers.forget(nowMillis);
-        if (!forgotten.isEmpty()) {
-            listener.routersForgotten(forgotten);
+                .forEach(this::markUnreachable);
+        List<FleetRouter> expired = peers.removeExpired(nowMillis);
+        if (!expired.isEmpty()) {
+            listener.routersExpired(expired);
         }
-        teller().ifPresent(WorkTeller::tick);
+        workReporter().ifPresent(WorkReporter::tick);
     }
 
-    /** Hears of what peers brought; called on the control thread. */
+    /** Receives what peers report. Called on the control thread. */
     interface Listener {
-        /** A peer has told the store's era. */
-        void storeEraTold(long era, String origin);
+        /** Called when a peer reports the era of the store. */
+        void storeEraReceived(long era, String origin);
 
-        /** A peer has a newer configuration, which is not here yet. */
+        /** Called when a peer has a newer configuration that has not been fetched yet. */
         void newerConfigurationExists();
 
-        /** A peer offers a configuration. */
-        void configurationOffered(byte[] content, String origin);
+        /** Called when a configuration has been fetched from a peer. */
+        void configurationReceived(byte[] content, String origin);
 
-        /** A peer has told which data centres are to get nothing new, or are to be used again. */
+        /** Called when a peer reports that data centres have been drained or are in use again. */
         void drainsChanged(String origin);
 
-        /** A peer has told of endpoints that are leaving, as their answers stated. */
+        /** Called when a peer reports endpoints that stated in their answers that they are leaving. */
         void endpointsLeaving(List<String> endpointIds, String origin);
 
-        /** A peer's list of endpoints has been taken over, or has confirmed this router's. */
+        /** Called when the endpoint list has been replaced by that of a peer, or confirmed by a peer. */
         void endpointsChanged();
 
-        /** There are more routers. */
-        void routersChanged();
+        /** Called when routers have been added. */
+        void routersAdded();
 
-        /** These routers have not been seen for long. */
-        void routersForgotten(List<FleetRouter> routers);
+        /** Called when routers have been removed because they had not been seen for a long time. */
+        void routersExpired(List<FleetRouter> routers);
     }
 }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
@@ -0,0 +1,165 @@
+package org.radishpass.routing.control;
+
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import java.util.stream.Collectors;
+import org.radishpass.routing.quarantine.RequestFingerprint;
+import org.radishpass.routing.quarantine.Sighting;
+import org.radishpass.routing.quarantine.Suspect;
+import org.radishpass.routing.quarantine.SuspectReport;
+import org.radishpass.routing.quarantine.SuspectSource;
+import org.radishpass.routing.traffic.MonotonicClock;
+import org.radishpass.runtime.thread.ControlThread;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import reactor.core.publisher.Mono;
+
+/**
+ * Saves quarantined requests in the store, so that they stay quarantined when all routers restart at once, as after a
+ * loss of power. Otherwise each request would end two more endpoints before it is detected again. The router that sees
+ * the endpoint's end which leads to the quarantine writes one row. Each router reads the rows once, when it starts.
+ * State is confined to the control thread.
+ */
+final class QuarantinePersistence {
+    private static final Logger LOG = LoggerFactory.getLogger(QuarantinePersistence.class);
+
+    /**
+     * Milliseconds for which a row is kept: a day, the longest time for which a request is quarantined, and one more
+     * hour in which the request is then tried again.
+     */
+    private static final long RETENTION_MILLIS = TimeUnit.HOURS.toMillis(25);
+
+    /**
+     * Maximum attempts to write a row: with the pauses between them, about half a minute of a store that does not
+     * answer.
+     */
+    private static final int MAX_ATTEMPTS = 12;
+
+    /**
+     * Maximum number of rows that are written again after a restore of the store: as many requests as may be suspected
+     * in one workspace.
+     */
+    private static final int MAX_REWRITTEN_ROWS = 256;
+
+    /** Milliseconds between these writes of one router. */
+    private static final long REWRITE_INTERVAL_MILLIS = 20;
+
+    private final ControlThread thread;
+    private final MonotonicClock clock;
+    private final ControlSource source;
+    private final StoreClock storeClock;
+    private final SuspectSource suspects;
+    private final RetryPause readPause = new RetryPause();
+    private final Map<RequestFingerprint, Boolean> savedByRequest = new LinkedHashMap<>();
+
+    QuarantinePersistence(
+            ControlThread thread,
+            MonotonicClock clock,
+            ControlSource source,
+            StoreClock storeClock,
+            SuspectSource suspects) {
+        this.thread = thread;
+        this.clock = clock;
+        this.source = source;
+        this.storeClock = storeClock;
+        this.suspects = suspects;
+    }
+
+    /** Loads the saved requests. Tries again until the store answers. */
+    void load() {
+        source.quarantined().publishOn(thread.scheduler()).subscribe(this::onLoaded);
+    }
+
+    private void onLoaded(QuarantineReading reading) {
+        if (reading instanceof QuarantineReading.Listed listed) {
+            suspects.suspectsRestored(listed.suspects());
+            listed.suspects().stream()
+                    .filter(QuarantinePersistence::expired)
+                    .forEach(suspect -> remove(suspect.request()));
+        } else if (reading instanceof QuarantineReading.Unavailable unavailable) {
+            LOG.info(
+                    "quarantined requests could not be read from the store; the router tries again: {}",
+                    unavailable.reason());
+            thread.after(readPause.next(), this::load);
+        }
+    }
+
+    /**
+     * Writes the rows again that this router has written, because the snapshot from which the store was restored may
+     * lack them. Rows that this router has removed are removed again.
+     *
+     * @param delay how long this router waits before it writes
+     */
+    void storeRestored(Duration delay) {
+        if (!savedByRequest.isEmpty()) {
+            thread.after(delay, () -> suspects.suspects(report -> thread.run(() -> rewrite(report))));
+        }
+    }
+
+    /**
+     * Repeats the writes that still apply. If another router has since cleared a request or confirmed it as the cause,
+     * that router writes the row.
+     */
+    private void rewrite(SuspectReport report) {
+        Map<RequestFingerprint, Suspect> suspected = report.suspects().stream()
+                .collect(Collectors.toMap(Suspect::request, Function.identity(), (first, second) -> first));
+        long delayMillis = 0;
+        for (Map.Entry<RequestFingerprint, Boolean> row : List.copyOf(savedByRequest.entrySet())) {
+            Suspect suspect = suspected.get(row.getKey());
+            if (row.getValue() && suspect != null) {
+                thread.after(Duration.ofMillis(delayMillis), () -> save(suspect));
+            } else if (!row.getValue() && suspect == null) {
+                thread.after(Duration.ofMillis(delayMillis), () -> remove(row.getKey()));
+            }
+            delayMillis += REWRITE_INTERVAL_MILLIS;
+        }
+    }
+
+    private void recordWrite(RequestFingerprint request, boolean saved) {
+        savedByRequest.remove(request);
+        savedByRequest.put(request, saved);
+        if (savedByRequest.size() > MAX_REWRITTEN_ROWS) {
+            savedByRequest.remove(savedByRequest.keySet().iterator().next());
+        }
+    }
+
+    /** Saves a quarantined request. */
+    void save(Suspect suspect) {
+        recordWrite(suspect.request(), true);
+        write(
+                () -> source.quarantine(suspect, storeClock.latestStoreMillis(clock.millis())),
+                suspect.request(),
+                new RetryPause(),
+                1);
+    }
+
+    /** Removes a request that is no longer quarantined. */
+    void remove(RequestFingerprint request) {
+        recordWrite(request, false);
+        write(() -> source.release(request), request, new RetryPause(), 1);
+    }
+
+    private void write(Supplier<Mono<Boolean>> call, RequestFingerprint request, RetryPause pause, int attempt) {
+        call.get().publishOn(thread.scheduler()).subscribe(done -> {
+            if (done) {
+                return;
+            }
+            if (attempt < MAX_ATTEMPTS) {
+                thread.after(pause.next(), () -> write(call, request, pause, attempt + 1));
+            } else {
+                LOG.warn(
+                        "the quarantine of request {} could not be updated in the store; the routers still know of it",
+                        request);
+            }
+        });
+    }
+
+    private static boolean expired(Suspect suspect) {
+        return suspect.ends().stream().mapToLong(Sighting::ageMillis).min().orElse(Long.MAX_VALUE) > RETENTION_MILLIS;
+    }
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantineReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantineReading.java
@@ -4,27 +4,27 @@
 import org.radishpass.routing.quarantine.Suspect;
 
 /**
- * What the store answered about requests that are kept from endpoints.
+ * The result of reading quarantined requests from the store.
  *
  * @since 0.5.0
  */
 public sealed interface QuarantineReading {
     /**
-     * They were read.
+     * The quarantined requests were read.
      *
      * @param suspects the requests
      */
     record Listed(List<Suspect> suspects) implements QuarantineReading {
-        /** Copies the requests. */
+        /** Copies the list of requests. */
         public Listed {
             suspects = List.copyOf(suspects);
         }
     }
 
     /**
-     * The store did not answer, or refused.
+     * The store did not answer, or refused to.
      *
-     * @param reason why
+     * @param reason why the store did not answer
      */
     record Unavailable(String reason) implements QuarantineReading {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ReadingDuty.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ReadingDuty.java
@@ -1,28 +1,28 @@
 package org.radishpass.routing.control;
 
-/** What a router reads from the store for itself and others. */
+/** What a router reads from the store, for itself and for other routers. */
 enum ReadingDuty {
-    /** Nothing: others read, and tell. */
+    /** Reads nothing. Other routers read and report. */
     NONE,
-    /** It waits for newer configurations, so that the loss of one reader delays none. */
+    /** Waits at the store for newer configurations, so that the loss of one reader does not delay a configuration. */
     CONFIGURATION,
-    /** It also reads the endpoint list. */
+    /** Reads the endpoint list, and waits for newer configurations. */
     ALL;
 
-    /** Routers that wait for newer configurations: two may be lost at the same moment. */
+    /** Routers that wait at the store for newer configurations: two of them may be lost at the same moment. */
     static final int CONFIGURATION_READERS = 3;
 
     /**
-     * Returns the duty of a router that gathers.
+     * Returns the duty of a router that gathers work in flight.
      *
-     * @param readBefore whether one before it in order has read the store lately
-     * @param before how many are before it in order
+     * @param precedingReads whether a preceding router has recently read the store
+     * @param preceding the number of preceding routers that gather
      */
-    static ReadingDuty of(boolean readBefore, int before) {
-        if (!readBefore) {
+    static ReadingDuty of(boolean precedingReads, int preceding) {
+        if (!precedingReads) {
             return ALL;
         }
-        return before < CONFIGURATION_READERS ? CONFIGURATION : NONE;
+        return preceding < CONFIGURATION_READERS ? CONFIGURATION : NONE;
     }
 
     boolean readsConfiguration() {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
@@ -9,12 +9,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This router's registration in the store, by which others find it. State belongs to the control thread. */
+/** Registers this router in the store, where other routers find it. State is confined to the control thread. */
 final class Registration {
     private static final Logger LOG = LoggerFactory.getLogger(Registration.class);
 
-    /** How long until a registration that could not be made is tried again. */
-    private static final Duration AGAIN = Duration.ofMillis(700);
+    /** Pause before a failed registration is tried again. */
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(700);
 
     private final ControlThread thread;
     private final ControlSource source;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Registers this router, and tries again until that is done.
+     * Registers this router. Tries again until the store accepts the registration.
      *
-     * @param learn hears which routers are registered; called on the control thread
+     * @param learn receives all registered routers, on the control thread
      */
     void register(Consumer<Collection<FleetRouter>> learn) {
         source.register(self).publishOn(thread.scheduler()).subscribe(reading -> {
@@ -40,8 +40,8 @@
                 position = registered.position();
                 learn.accept(registered.routers());
             } else if (reading instanceof RegistryReading.Unavailable unavailable) {
-                LOG.info("this router cannot be registered yet: {}", unavailable.reason());
-                thread.after(AGAIN, () -> registerUnlessRemoved(learn));
+                LOG.info("this router could not be registered in the store; it tries again: {}", unavailable.reason());
+                thread.after(RETRY_PAUSE, () -> registerUnlessRemoved(learn));
             }
         });
     }
@@ -53,26 +53,27 @@
     }
 
     /**
-     * Registers this router again: the snapshot from which the store was restored may lack it.
+     * Registers this router again after a delay, because the snapshot from which the store was restored may lack its
+     * registration.
      *
-     * @param turn how long this router lets others go first
-     * @param learn hears which routers are registered; called on the control thread
+     * @param delay how long this router waits
+     * @param learn receives all registered routers, on the control thread
      */
-    void storeRestored(Duration turn, Consumer<Collection<FleetRouter>> learn) {
+    void storeRestored(Duration delay, Consumer<Collection<FleetRouter>> learn) {
         int renewal = ++lastRenewal;
-        thread.after(turn, () -> {
-            if (renewal == lastRenewal && done() && !removed) {
+        thread.after(delay, () -> {
+            if (renewal == lastRenewal && registered() && !removed) {
                 register(learn);
             }
         });
     }
 
-    /** Tells whether it was made, and with it the registrations of all others were read. */
-    boolean done() {
+    /** Tells whether this router is registered. The registrations of all other routers have been read by then, too. */
+    boolean registered() {
         return position.known();
     }
 
-    /** Removes the registration, if there is one. */
+    /** Removes the registration from the store, if there is one. */
     void remove() {
         removed = true;
         if (position.known()) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryCleaner.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryCleaner.java
@@ -13,8 +13,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Removes registrations of routers that are gone for good: a VM that is lost does not take its own back, and its replacement has
- * another address. A router that lives after all is known to its peers by its messages.
+ * Removes the registrations of routers that are gone for good. A VM that is lost cannot remove its own registration,
+ * and its replacement has another address. If a router turns out to be alive, its peers know it from its messages.
  */
 final class RegistryCleaner {
     private static final Logger LOG = LoggerFactory.getLogger(RegistryCleaner.class);
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Removes registrations. One that was written anew since it was read stays.
+     * Removes the registrations of routers. A registration that has been rewritten since it was read is kept.
      *
-     * @param gone the routers that have not been seen for long
+     * @param gone the routers that have not been seen for a long time
      */
     Mono<Void> clean(Collection<FleetRouter> gone) {
         Set<String> ids = gone.stream().map(FleetRouter::id).collect(Collectors.toSet());
@@ -40,8 +40,7 @@
                         .concatMap(this::remove)
                         .then();
             }
-            LOG.info(
-                    "registrations of routers that are gone cannot be read; they stay until the next one is forgotten");
+            LOG.info("the registrations of lost routers could not be read; they stay until the next router expires");
             return Mono.empty();
         });
     }
@@ -49,7 +48,7 @@
     private Mono<Boolean> remove(RegistryReading.Registration registration) {
         return source.deregister(registration.router().address(), registration.position())
                 .doOnNext(removed -> LOG.info(
-                        "the registration of router {}, not seen since, was {}",
+                        "the registration of lost router {} was {}",
                         registration.router().id(),
                         removed ? "removed" : "kept",
                         LogEvent.PEER_REMOVED.field(),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryReading.java
@@ -5,38 +5,39 @@
 import org.radishpass.routing.fleet.StorePosition;
 
 /**
- * What came of registering this router and asking for the others.
+ * The result of registering this router and reading the registered routers.
  *
  * @since 0.2.0
  */
 public sealed interface RegistryReading {
     /**
-     * The routers that are registered, this one included.
+     * All registered routers, including this one.
      *
-     * @param registrations the routers' registrations
-     * @param position where in the store's history this router's own registration was written; {@link StorePosition#NONE} if it has none
+     * @param registrations the registrations of the routers
+     * @param position the store position at which this router's own registration was written, or {@link
+     *     StorePosition#NONE} if there is none
      * @since 0.2.0
      */
     record Registered(List<Registration> registrations, StorePosition position) implements RegistryReading {
-        /** Returns the routers. */
+        /** Returns the registered routers. */
         public List<FleetRouter> routers() {
             return registrations.stream().map(Registration::router).toList();
         }
     }
 
     /**
-     * One router's registration.
+     * The registration of one router.
      *
      * @param router the router
-     * @param position where in the store's history it was written
+     * @param position the store position at which the registration was written
      * @since 0.3.0
      */
     record Registration(FleetRouter router, StorePosition position) {}
 
     /**
-     * The store did not answer, or refused.
+     * The store did not answer, or refused to.
      *
-     * @param reason why
+     * @param reason why the store did not answer
      * @since 0.2.0
      */
     record Unavailable(String reason) implements RegistryReading {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
@@ -30,15 +30,19 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * A router of routed requests: one traffic thread, one control thread, and the peers.
+ * A router that forwards requests along configured routes. It has one thread for requests, one control thread, and
+ * connections to its peers.
  *
  * @since 0.2.0
  */
 public final class RoutedRouter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RoutedRouter.class);
 
-    /** How long until an address that is taken is tried again: a process that ends gives it back within that. */
-    private static final Duration BIND_AGAIN = Duration.ofMillis(500);
+    /**
+     * Pause before binding a peer address that is in use is tried again. A process that ends releases its address
+     * within that time.
+     */
+    private static final Duration BIND_RETRY_PAUSE = Duration.ofMillis(500);
 
     private final ControlThread thread = new ControlThread("control");
     private final LoopResources loops;
@@ -55,7 +59,7 @@
         this.metrics = builder.metrics;
         EventLoop loop = loops.onServer(false).next();
         this.traffic = new TrafficServer(
-                loop, MonotonicClock.SYSTEM, this::view, builder.dialect, builder.home, new AnswerNews(), metrics);
+                loop, MonotonicClock.SYSTEM, this::view, builder.dialect, builder.home, new AnswerListener(), metrics);
         this.start = new StartSequence(thread, traffic);
         this.control = new ControlPlane(
                 thread,
@@ -71,11 +75,11 @@
     }
 
     /**
-     * Starts to describe a router.
+     * Returns a builder of a router.
      *
-     * @param loops the event loops; a router uses one
+     * @param loops the event loops, of which a router uses one
      * @param source the store
-     * @param decoder reads configurations
+     * @param decoder decodes configurations
      * @param dialect translates request and answer heads
      */
     public static Builder builder(
@@ -84,20 +88,21 @@
     }
 
     /**
-     * Starts it. Callers are served once a configuration and the endpoints are known, or after a while without them.
+     * Starts this router. Callers are served as soon as a configuration and the endpoints are known, or after a short
+     * time without them.
      *
-     * @param callers where callers' requests come in
-     * @param allowance what all routers may send again
-     * @param seeds where other routers may listen for peers, known beforehand
+     * @param callers the socket for requests of callers
+     * @param allowance how many retries all routers together may send
+     * @param seeds addresses where other routers may listen for peers
      */
     public void start(CallerSocket callers, RetryAllowance allowance, List<Address> seeds) {
         traffic.retryAllowance(allowance);
         control.start();
-        start.begin(callers, () -> meetPeers(seeds));
+        start.begin(callers, () -> joinPeers(seeds));
         LOG.info("the router has started", LogEvent.START.field(), kv("peers", self.id()));
     }
 
-    private void meetPeers(List<Address> seeds) {
+    private void joinPeers(List<Address> seeds) {
         PeerNode node;
         try {
             node = new PeerNode(
@@ -107,15 +112,15 @@
                     new TrafficMeter(metrics),
                     control::introduction);
         } catch (ChannelBindException e) {
-            LOG.error("the address for peers {} cannot be bound; it is tried again", self.address(), e);
-            thread.after(BIND_AGAIN, () -> meetPeers(seeds));
+            LOG.error("binding the peer address {} failed; the router tries again", self.address(), e);
+            thread.after(BIND_RETRY_PAUSE, () -> joinPeers(seeds));
             return;
         }
         control.join(node, seeds);
     }
 
     /**
-     * Waits until callers are served, or it is clear that they cannot be.
+     * Waits until callers are served, or serving them has failed.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -123,17 +128,17 @@
         start.awaitServing();
     }
 
-    /** Tells whether it takes new callers. */
+    /** Tells whether this router accepts new callers. */
     public boolean ready() {
         return !stopping && view().complete();
     }
 
-    /** Returns its traffic side. */
+    /** Returns the server that handles callers' requests. */
     public TrafficServer traffic() {
         return traffic;
     }
 
-    /** From now on it is not ready, and asks callers to go elsewhere. */
+    /** Begins to stop. From now on this router is not ready, and asks callers to use another router. */
     public void beginStop() {
         stopping = true;
         LOG.info("the router is stopping", LogEvent.STOP.field());
@@ -141,7 +146,10 @@
         control.leave();
     }
 
-    /** Ends its control side, which would otherwise go on without the event loops that its caller closes. */
+    /**
+     * Ends the control thread. Otherwise it would run on without the event loops, which the owner of this router
+     * closes.
+     */
     @Override
     public void close() {
         thread.close();
@@ -151,21 +159,21 @@
         return control.view();
     }
 
-    /** Tells the control side what answers tell of endpoints. */
-    private final class AnswerNews implements EndpointListener {
+    /** Passes what answers state about endpoints to the control side. */
+    private final class AnswerListener implements EndpointListener {
         @Override
         public void gone(ServiceEndpoint endpoint) {
-            control.gone(endpoint.id());
+            control.endpointGone(endpoint.id());
         }
 
         @Override
         public void leaving(ServiceEndpoint endpoint) {
-            control.leaving(endpoint.id());
+            control.endpointLeaving(endpoint.id());
         }
     }
 
     /**
-     * Describes a router.
+     * Builds a router.
      *
      * @since 0.2.0
      */
@@ -188,37 +196,37 @@
             this.dialect = dialect;
         }
 
-        /** Sets where counters are kept. */
+        /** Sets the registry of the metrics. */
         public Builder metrics(MeterRegistry registry) {
             this.metrics = registry;
             return this;
         }
 
-        /** Sets where it listens for peers. */
+        /** Sets the address on which the router listens for peers. */
         public Builder peerAddress(Address address) {
             this.peerAddress = address;
             return this;
         }
 
-        /** Sets where it stands. */
+        /** Sets the data centre of the router. */
         public Builder home(DataCentre dataCentre) {
             this.home = dataCentre;
             return this;
         }
 
-        /** Sets the processor time that it may use, in cores; larger routers do more for others. */
+        /** Sets the processor time that the router may use, in cores. Larger routers do more work for others. */
         public Builder cores(double count) {
             this.cores = count;
             return this;
         }
 
-        /** Sets where data centres stand. */
+        /** Sets the region of each data centre. */
         public Builder regions(RegionMap map) {
             this.regions = map;
             return this;
         }
 
-        /** Returns the router, not yet started. */
+        /** Returns a router that has not been started. */
         public RoutedRouter build() {
             return new RoutedRouter(this);
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerStates.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutingMessageMapper.java
@@ -15,59 +15,59 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Translates between messages to peers and the types of this module. */
-final class PeerStates {
-    private static final Logger LOG = LoggerFactory.getLogger(PeerStates.class);
+/** Maps between peer messages and the types of this module. */
+final class RoutingMessageMapper {
+    private static final Logger LOG = LoggerFactory.getLogger(RoutingMessageMapper.class);
 
-    private PeerStates() {
+    private RoutingMessageMapper() {
         // static methods only
     }
 
-    /** Returns the entry that tells of a router. */
-    static RoutingMessage.RouterEntry entry(FleetRouter router) {
+    /** Returns the message entry of a router. */
+    static RoutingMessage.RouterEntry toEntry(FleetRouter router) {
         return new RoutingMessage.RouterEntry(
                 router.id(), router.located() ? router.dataCentre().name() : "", router.cores());
     }
 
-    /** Returns the entries that tell of routers. */
-    static List<RoutingMessage.RouterEntry> entries(List<FleetRouter> routers) {
-        return routers.stream().map(PeerStates::entry).toList();
+    /** Returns the message entries of routers. */
+    static List<RoutingMessage.RouterEntry> toEntries(List<FleetRouter> routers) {
+        return routers.stream().map(RoutingMessageMapper::toEntry).toList();
     }
 
-    /** Returns the router that an entry tells of, if it can be read. */
-    static Optional<FleetRouter> router(RoutingMessage.RouterEntry entry) {
-        return addresses(List.of(entry.address())).stream()
+    /** Returns the router of a message entry, or nothing if the entry's address is malformed. */
+    static Optional<FleetRouter> toRouter(RoutingMessage.RouterEntry entry) {
+        return parseAddresses(List.of(entry.address())).stream()
                 .findFirst()
                 .map(address -> entry.dataCentre().isBlank()
                         ? FleetRouter.unlocated(address)
                         : new FleetRouter(address, new DataCentre(entry.dataCentre()), entry.cores()));
     }
 
-    /** Returns the routers that can be read. */
-    static List<FleetRouter> routers(List<RoutingMessage.RouterEntry> entries) {
+    /** Returns the routers of message entries. Malformed entries are logged and left out. */
+    static List<FleetRouter> toRouters(List<RoutingMessage.RouterEntry> entries) {
         return entries.stream()
-                .map(PeerStates::router)
+                .map(RoutingMessageMapper::toRouter)
                 .flatMap(Optional::stream)
                 .toList();
     }
 
-    /** Returns the entries that tell of work, by endpoint. */
-    static List<RoutingMessage.EndpointWork> entries(Map<String, InFlight> work) {
+    /** Returns the message entries of work in flight by endpoint. */
+    static List<RoutingMessage.EndpointWork> toEntries(Map<String, InFlight> work) {
         List<RoutingMessage.EndpointWork> entries = new ArrayList<>(work.size());
         work.forEach(
                 (id, amount) -> entries.add(new RoutingMessage.EndpointWork(id, amount.requests(), amount.tokens())));
         return entries;
     }
 
-    /** Returns the work that a message tells of, by endpoint. */
-    static Map<String, InFlight> work(RoutingMessage.RoutingState state) {
+    /** Returns the work in flight of a state message by endpoint. */
+    static Map<String, InFlight> toWork(RoutingMessage.RoutingState state) {
         Map<String, InFlight> work = new HashMap<>();
         state.work().forEach(entry -> work.put(entry.endpointId(), new InFlight(entry.requests(), entry.tokens())));
         return work;
     }
 
-    /** Returns the entries that tell of data centres that are to get nothing new. */
-    static List<RoutingMessage.DrainEntry> drains(DrainTracker tracker, long nowMillis) {
+    /** Returns the message entries of the drained data centres and of those that are in use again. */
+    static List<RoutingMessage.DrainEntry> toDrainEntries(DrainTracker tracker, long nowMillis) {
         return tracker.changes().stream()
                 .map(change -> new RoutingMessage.DrainEntry(
                         change.drain().dataCentre().name(),
@@ -78,20 +78,20 @@
                 .toList();
     }
 
-    /** Takes what a peer tells of data centres that are to get nothing new; returns whether any of it was news. */
-    static boolean takeDrains(
+    /** Applies the drained data centres that a peer reported. Returns whether any of them changed. */
+    static boolean applyDrains(
             List<RoutingMessage.DrainEntry> entries, DrainTracker tracker, StoreEra era, long nowMillis) {
-        boolean news = false;
+        boolean changed = false;
         for (RoutingMessage.DrainEntry entry : entries) {
             long sinceMillis = nowMillis - Math.max(0, entry.forMillis());
-            news |= drain(entry, era)
+            changed |= toDrain(entry, era)
                     .filter(drain -> tracker.offer(drain, sinceMillis))
                     .isPresent();
         }
-        return news;
+        return changed;
     }
 
-    private static Optional<DataCentreDrain> drain(RoutingMessage.DrainEntry entry, StoreEra era) {
+    private static Optional<DataCentreDrain> toDrain(RoutingMessage.DrainEntry entry, StoreEra era) {
         return entry.dataCentre().isBlank()
                 ? Optional.empty()
                 : Optional.of(new DataCentreDrain(
@@ -100,8 +100,8 @@
                         entry.drained()));
     }
 
-    /** Returns the reading that a peer's list rests on. */
-    static ListReading reading(RoutingMessage.RoutingState state, StoreEra era) {
+    /** Returns the store reading on which a peer's endpoint list is based. */
+    static ListReading toListReading(RoutingMessage.RoutingState state, StoreEra era) {
         return new ListReading(
                         new StorePosition(state.directoryEra(), state.directory()),
                         state.directoryReadMillis(),
@@ -109,8 +109,8 @@
                 .resolved(era);
     }
 
-    /** Returns the addresses that can be read; the others are logged and left out. */
-    static List<Address> addresses(List<String> texts) {
+    /** Returns the addresses that can be parsed. Malformed addresses are logged and left out. */
+    static List<Address> parseAddresses(List<String> texts) {
         List<Address> addresses = new ArrayList<>();
         for (String text : texts) {
             int colon = text.lastIndexOf(':');
@@ -118,7 +118,7 @@
                 addresses.add(new Address(
                         text.substring(0, Math.max(0, colon)), Integer.parseInt(text.substring(colon + 1))));
             } catch (IllegalArgumentException e) {
-                LOG.warn("{} is not the address of a router: {}", text, e.getMessage());
+                LOG.warn("malformed router address {} is ignored: {}", text, e.getMessage());
             }
         }
         return addresses;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
@@ -14,32 +14,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The order of a start: callers that wait are served as soon as a configuration and the endpoints are known, what else needs
- * processor time comes after it. State belongs to the control thread.
+ * Orders the steps of a start. Waiting callers are served as soon as a configuration and the endpoints are known. Other
+ * work that needs processor time comes later. State is confined to the control thread.
  */
 final class StartSequence {
     private static final Logger LOG = LoggerFactory.getLogger(StartSequence.class);
 
     /**
-     * How long callers wait at the start for a configuration and the endpoints; after it they are told that the router is
-     * not ready. A caller waits a second for its request to be read.
+     * How long callers wait at the start for a configuration and the endpoints. After that they are told that the
+     * router is not ready. A caller allows one second for its request to be read.
      */
-    private static final Duration SERVE_ANYWAY = Duration.ofMillis(800);
+    private static final Duration MAX_SERVE_DELAY = Duration.ofMillis(800);
 
     /**
-     * How long after callers are served the peers are joined. The first requests after a start find code that runs for the
-     * first time; greeting six peers meanwhile delayed them by 0.2 s on 0.75 cores.
+     * Delay between serving callers and joining the peers. The first requests after a start run code for the first
+     * time, and greeting six peers meanwhile delayed them by 0.2 s on 0.75 cores.
      */
-    private static final Duration JOIN_AFTER_SERVING = Duration.ofMillis(300);
+    private static final Duration JOIN_DELAY_AFTER_SERVING = Duration.ofMillis(300);
 
-    /** How long after the start the peers are joined at the latest: they may know what the store does not tell. */
-    private static final Duration JOIN_ANYWAY = Duration.ofMillis(400);
+    /**
+     * Delay after the start at which the peers are joined at the latest. They may know what the store does not report.
+     */
+    private static final Duration MAX_JOIN_DELAY = Duration.ofMillis(400);
 
     private final ControlThread thread;
     private final TrafficServer traffic;
     private final CountDownLatch serving = new CountDownLatch(1);
-    private @Nullable CallerSocket waiting;
-    private @Nullable Runnable whenJoining;
+    private @Nullable CallerSocket pendingCallers;
+    private @Nullable Runnable pendingJoin;
 
     StartSequence(ControlThread thread, TrafficServer traffic) {
         this.thread = thread;
@@ -47,31 +49,31 @@
     }
 
     /**
-     * Begins.
+     * Begins the start.
      *
-     * @param callers where callers' requests come in
+     * @param callers the socket for requests of callers
      * @param joinPeers joins the peers; called once, on the control thread
      */
     void begin(CallerSocket callers, Runnable joinPeers) {
         thread.run(() -> {
-            waiting = callers;
-            whenJoining = joinPeers;
+            pendingCallers = callers;
+            pendingJoin = joinPeers;
         });
-        thread.after(SERVE_ANYWAY, this::serve);
-        thread.after(JOIN_ANYWAY, this::join);
+        thread.after(MAX_SERVE_DELAY, this::serve);
+        thread.after(MAX_JOIN_DELAY, this::join);
     }
 
-    /** Serves the callers that have been waiting, if that has not been done. */
+    /** Serves the callers that have been waiting, unless they are served already. */
     void serve() {
-        CallerSocket socket = waiting;
-        waiting = null;
+        CallerSocket socket = pendingCallers;
+        pendingCallers = null;
         if (socket != null) {
-            thread.after(JOIN_AFTER_SERVING, this::join);
-            var unused = traffic.serve(socket).whenComplete(this::noteServing);
+            thread.after(JOIN_DELAY_AFTER_SERVING, this::join);
+            var unused = traffic.serve(socket).whenComplete(this::onServing);
         }
     }
 
-    private void noteServing(@Nullable Channel channel, @Nullable Throwable error) {
+    private void onServing(@Nullable Channel channel, @Nullable Throwable error) {
         serving.countDown();
         if (channel != null) {
             LOG.info(
@@ -79,20 +81,20 @@
                     LogEvent.SERVING.field(),
                     kv("address", String.valueOf(channel.localAddress())));
         } else {
-            LOG.error("callers cannot be served", error);
+            LOG.error("the router cannot serve callers", error);
         }
     }
 
     private void join() {
-        Runnable due = whenJoining;
-        whenJoining = null;
-        if (due != null) {
-            due.run();
+        Runnable joinTask = pendingJoin;
+        pendingJoin = null;
+        if (joinTask != null) {
+            joinTask.run();
         }
     }
 
     /**
-     * Waits until callers are served, or it is clear that they cannot be.
+     * Waits until callers are served, or serving them has failed.
      *
      * @throws InterruptedException if the thread is interrupted
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StatusServer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StatusServer.java
@@ -9,7 +9,7 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * Tells the balancer whether this process is ready, and serves its metrics.
+ * Serves the readiness of this process to the load balancer, and its metrics.
  *
  * @since 0.2.0
  */
@@ -22,8 +22,8 @@
      * Creates a server that does not listen yet.
      *
      * @param loops the event loops
-     * @param ready tells whether the process is ready
-     * @param metrics gives the metrics as text
+     * @param ready returns whether the process is ready
+     * @param metrics returns the metrics as text
      */
     public StatusServer(LoopResources loops, BooleanSupplier ready, Supplier<String> metrics) {
         this.loops = loops;
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Answers questions for readiness with 200 or 503.
+     * Starts to answer readiness checks with status 200 or 503.
      *
-     * @param address where
-     * @param path the path that is asked for
+     * @param address the address to listen on
+     * @param path the path of the readiness check
      */
     public void serveReadiness(InetSocketAddress address, String path) {
         HttpServer.create()
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Serves the metrics.
+     * Starts to serve the metrics.
      *
-     * @param address where
-     * @param path the path that is asked for
+     * @param address the address to listen on
+     * @param path the path of the metrics
      */
     public void serveMetrics(InetSocketAddress address, String path) {
         HttpServer.create()
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreRestore.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreRestore.java
@@ -7,14 +7,14 @@
     private final StoreReadings readings;
     private final StoreFollower follower;
     private final Registration registration;
-    private final QuarantineKeeper quarantine;
+    private final QuarantinePersistence quarantine;
     private final PeerExchange peers;
 
     StoreRestore(
             StoreReadings readings,
             StoreFollower follower,
             Registration registration,
-            QuarantineKeeper quarantine,
+            QuarantinePersistence quarantine,
             PeerExchange peers) {
         this.readings = readings;
         this.follower = follower;
@@ -34,10 +34,10 @@
         if (!readings.eraTold(era, origin)) {
             return;
         }
-        Duration turn = peers.turn(era);
+        Duration turn = peers.staggeredDelay(era);
         follower.storeRestored(turn);
         registration.storeRestored(turn, peers::learn);
         quarantine.storeRestored(turn);
-        peers.tellNow();
+        peers.reportNow();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessages.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessageMapper.java
@@ -8,28 +8,32 @@
 import org.radishpass.routing.quarantine.Suspect;
 import org.radishpass.routing.quarantine.SuspectReport;
 
-/** Translates between messages to peers and reports of requests that may end their endpoints. */
-final class SuspectMessages {
-    private SuspectMessages() {
+/** Maps between peer messages and reports of requests that are suspected of crashing their endpoints. */
+final class SuspectMessageMapper {
+    private SuspectMessageMapper() {
         // static methods only
     }
 
-    static RoutingMessage.SuspectRequests message(SuspectReport report, WorkScope scope) {
+    static RoutingMessage.SuspectRequests toMessage(SuspectReport report, WorkScope scope) {
         return new RoutingMessage.SuspectRequests(
-                report.suspects().stream().map(SuspectMessages::suspect).toList(),
-                report.cleared().stream().map(SuspectMessages::name).toList(),
+                report.suspects().stream().map(SuspectMessageMapper::suspect).toList(),
+                report.cleared().stream()
+                        .map(SuspectMessageMapper::toRequestName)
+                        .toList(),
                 scope);
     }
 
-    static SuspectReport report(RoutingMessage.SuspectRequests message) {
+    static SuspectReport toReport(RoutingMessage.SuspectRequests message) {
         return new SuspectReport(
-                message.suspects().stream().map(SuspectMessages::suspect).toList(),
-                message.cleared().stream().map(SuspectMessages::fingerprint).toList());
+                message.suspects().stream().map(SuspectMessageMapper::suspect).toList(),
+                message.cleared().stream()
+                        .map(SuspectMessageMapper::toFingerprint)
+                        .toList());
     }
 
     private static RoutingMessage.SuspectRequest suspect(Suspect suspect) {
         return new RoutingMessage.SuspectRequest(
-                name(suspect.request()),
+                toRequestName(suspect.request()),
                 suspect.ends().stream()
                         .map(end -> new RoutingMessage.EndedEndpoint(
                                 end.endpointHash(), end.ageMillis(), end.atWorkMillis()))
@@ -41,14 +45,14 @@
         List<Sighting> ends = entry.ends().stream()
                 .map(end -> new Sighting(end.endpointHash(), Math.max(0, end.ageMillis()), end.atWorkMillis()))
                 .toList();
-        return new Suspect(fingerprint(entry.request()), ends, Math.max(Suspect.NEVER_TRIED, entry.triedMillisAgo()));
+        return new Suspect(toFingerprint(entry.request()), ends, Math.max(Suspect.NEVER_TRIED, entry.triedMillisAgo()));
     }
 
-    private static RoutingMessage.RequestName name(RequestFingerprint request) {
+    private static RoutingMessage.RequestName toRequestName(RequestFingerprint request) {
         return new RoutingMessage.RequestName(request.workspace(), request.target(), request.body());
     }
 
-    private static RequestFingerprint fingerprint(RoutingMessage.RequestName name) {
+    private static RequestFingerprint toFingerprint(RoutingMessage.RequestName name) {
         return new RequestFingerprint(name.workspace(), name.target(), name.body());
     }
 }
--- /dev/null
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
@@ -0,0 +1,202 @@
+package org.radishpass.routing.control;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.radishpass.peer.message.PeerMessage;
+import org.radishpass.peer.message.RoutingMessage;
+import org.radishpass.peer.message.WorkScope;
+import org.radishpass.peer.transport.PeerLinks;
+import org.radishpass.routing.event.LogEvent;
+import org.radishpass.routing.fleet.FleetRouter;
+import org.radishpass.routing.fleet.StorePosition;
+import org.radishpass.routing.load.InFlight;
+import org.radishpass.routing.load.WorkReport;
+import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.traffic.MonotonicClock;
+import org.radishpass.runtime.thread.ControlThread;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reports work in flight, failing endpoints and live routers to other routers, according to the {@link GatheringPlan}.
+ * State is confined to the control thread.
+ */
+final class WorkReporter {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkReporter.class);
+
+    /**
+     * Ticks between messages while every router reports to every other. A message at each tick took a seventh of a
+     * router's processor time.
+     */
+    private static final int FULL_MESH_TICKS = 2;
+
+    /** Ticks after which a message is sent although nothing has changed: 0.6 s. */
+    private static final int HEARTBEAT_TICKS = 6;
+
+    /**
+     * Ticks between lists of the live routers: 5 s, far less than the time after which a router is removed from the
+     * known peers.
+     */
+    private static final int ROUTER_LIST_TICKS = 50;
+
+    private final ControlThread thread;
+    private final MonotonicClock clock;
+    private final FleetRouter self;
+    private final WorkSource work;
+    private final FleetView fleet;
+    private final PeerTable peers;
+    private final PeerLinks links;
+    private boolean gathering = true;
+    private int ticksSinceReport;
+    private int fullMeshTicks;
+    private int ticksSinceRouterList = ROUTER_LIST_TICKS;
+
+    WorkReporter(
+            ControlThread thread,
+            MonotonicClock clock,
+            FleetRouter self,
+            WorkSource work,
+            FleetView fleet,
+            PeerTable peers,
+            PeerLinks links) {
+        this.thread = thread;
+        this.clock = clock;
+        this.self = self;
+        this.work = work;
+        this.fleet = fleet;
+        this.peers = peers;
+        this.links = links;
+    }
+
+    /** Tells whether this router gathers its own work, as of its last report. */
+    boolean gathering() {
+        return gathering;
+    }
+
+    /** Reports what has changed. Called at a fixed interval. */
+    void tick() {
+        if (++ticksSinceRouterList >= ROUTER_LIST_TICKS) {
+            ticksSinceRouterList = 0;
+            sendRouterLists(clock.millis());
+        }
+        ticksSinceReport++;
+        if (peers.routerCount() > GatheringPlan.MAX_FULL_MESH_ROUTERS || ++fullMeshTicks % FULL_MESH_TICKS == 0) {
+            requestReport();
+        }
+    }
+
+    /** Reports at once, whether anything has changed or not. */
+    void reportNow() {
+        ticksSinceReport = HEARTBEAT_TICKS;
+        requestReport();
+    }
+
+    /** Schedules the router lists for the next tick. */
+    void scheduleRouterLists() {
+        ticksSinceRouterList = ROUTER_LIST_TICKS;
+    }
+
+    /**
+     * Sends the other gatherers the active routers of this group, and the members of this group all routers that are
+     * not suspected.
+     */
+    private void sendRouterLists(long nowMillis) {
+        GatheringPlan plan = GatheringPlan.of(self, peers.all(), nowMillis);
+        if (!plan.gathers()) {
+            return;
+        }
+        PeerMessage groupRouters =
+                new RoutingMessage.RouterList(RoutingMessageMapper.toEntries(peers.activeRouters(nowMillis)));
+        plan.peerGatherers().forEach(peer -> sendExpectingReply(peer, groupRouters, nowMillis));
+        PeerMessage allRouters =
+                new RoutingMessage.RouterList(RoutingMessageMapper.toEntries(peers.unsuspectedRouters()));
+        members(nowMillis).forEach(peer -> send(peer, allRouters));
+    }
+
+    private void requestReport() {
+        boolean heartbeatDue = ticksSinceReport >= HEARTBEAT_TICKS;
+        List<String> members = members(clock.millis()).stream().map(Peer::id).toList();
+        work.workReport(members, heartbeatDue, report -> thread.run(() -> sendReport(report)));
+    }
+
+    private void sendReport(WorkReport report) {
+        ticksSinceReport = 0;
+        long nowMillis = clock.millis();
+        GatheringPlan plan = GatheringPlan.of(self, peers.all(), nowMillis);
+        updateRole(plan);
+        PeerMessage ownState = plan.gathers()
+                ? state(report.group(), report.failing(), WorkScope.GROUP)
+                : state(report.own(), report.failing(), WorkScope.MEMBER);
+        plan.ownGatherer().ifPresent(peer -> sendExpectingReply(peer, ownState, nowMillis));
+        plan.peerGatherers().forEach(peer -> sendExpectingReply(peer, ownState, nowMillis));
+        report.withoutMember()
+                .forEach((id, othersWork) -> peers.find(id)
+                        .ifPresent(peer -> send(peer, state(othersWork, report.allFailing(), WorkScope.OTHERS))));
+        probe(plan, nowMillis);
+    }
+
+    /**
+     * Probes the suspected peers to which this router would report. A probe introduces this router, and the peer
+     * answers an introduction. If the probe reported this router's own work instead, a peer that is not a gatherer
+     * would treat this router as a member and answer accordingly.
+     */
+    private void probe(GatheringPlan plan, long nowMillis) {
+        PeerMessage introduction = new RoutingMessage.RouterList(List.of(RoutingMessageMapper.toEntry(self)));
+        for (Peer peer : new ArrayList<>(peers.all())) {
+            boolean sameDataCentre = peer.router().dataCentre().equals(self.dataCentre());
+            if ((sameDataCentre || plan.gathers()) && peer.probeDue(nowMillis)) {
+                peer.markSuspected(nowMillis);
+                links.drop(peer.id());
+                send(peer, introduction);
+            }
+        }
+    }
+
+    private void updateRole(GatheringPlan plan) {
+        if (plan.gathers() != gathering) {
+            gathering = plan.gathers();
+            LOG.info(
+                    "work in flight is now gathered by {}",
+                    plan.ownGatherer().map(Peer::id).orElse("this router"),
+                    LogEvent.GATHERER.field());
+        }
+    }
+
+    private List<Peer> members(long nowMillis) {
+        return peers.all().stream().filter(peer -> peer.isMember(nowMillis)).toList();
+    }
+
+    /** Sends a message to a router that reports its own work in turn, so that a missing reply indicates a failure. */
+    private void sendExpectingReply(Peer peer, PeerMessage message, long nowMillis) {
+        peer.expectReply(nowMillis);
+        send(peer, message);
+    }
+
+    /**
+     * Sends a message to a router that does not have to reply. A member stops reporting its work once another router
+     * gathers that work. If the missing reply counted as a failure, two routers of an idle fleet would suspect each
+     * other every 1.65 s.
+     */
+    private void send(Peer peer, PeerMessage message) {
+        links.send(peer.vm(), message);
+    }
+
+    private PeerMessage state(Map<String, InFlight> work, List<String> failing, WorkScope scope) {
+        DirectoryTracker directory = fleet.directory();
+        return new RoutingMessage.RoutingState(
+                fleet.configuration().version(),
+                directory.reading().position().revision(),
+                RoutingMessageMapper.toEntries(work),
+                directory.hash(),
+                directory.reading().storeMillis(),
+                directory.reading().settled(),
+                failing,
+                scope,
+                directory.ownReadStoreMillis(),
+                RoutingMessageMapper.toDrainEntries(fleet.drains(), clock.millis()),
+                directory.leavingToTell(),
+                Math.max(StorePosition.NO_ERA, directory.reading().position().era()),
+                fleet.era().toTell());
+    }
+}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Configuration, endpoint list and peers: everything a router believes that is not a request.
+ * The control side of a router: configuration, endpoint list, peers, registration and quarantine, kept up to date from
+ * the store and from other routers. The request path reads the resulting view.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
@@ -16,25 +16,30 @@
 import org.radishpass.routing.testing.TestCaller;
 
 /**
- * A customer lost thirteen engines of one service within twelve seconds, twice in a day: one request ended each engine that began to
- * run it, and came again each second or so through any router. Each arrival was a new request to the bound on attempts and to the
- * retry budget, and an engine's end was forgotten with the engine: a router sent the same request to a fifth engine after it had seen it
- * end a third. Proved by the routers' logs, in which the arrivals share a fingerprint, and by this test.
+ * Checks that a request that crashes its endpoints ends only a few of them, whichever routers it is sent to.
+ *
+ * <p>Guards against one request that ended thirteen endpoints of a service within twelve seconds: it was sent again
+ * about every second, through any router. Each arrival counted as a new request for the bound on attempts and for the
+ * retry budget, and routers forgot the end of an endpoint together with the endpoint. So a router that had seen the
+ * request end a third endpoint sent it to a fifth.
  */
 final class CrashingRequestTest {
-    private static final String POISON = "poison";
+    private static final String CRASHING_BODY = "poison";
     private static final int ROUTERS = 3;
     private static final int ENDPOINTS = 24;
     private static final int ARRIVALS = 10;
 
-    /** Endpoints that may end under one request: three until it is known, three while that is being told or tried anew. */
-    private static final int MOST_ENDS = 6;
+    /**
+     * Maximum number of endpoints that may end: three until the request is quarantined, and three more while the
+     * quarantine is distributed or the request is tried again.
+     */
+    private static final int MAX_ENDED_ENDPOINTS = 6;
 
-    /** Milliseconds until a caller comes again: far less than the second or so that they take. */
-    private static final long COMES_AGAIN_MILLIS = 150;
+    /** Milliseconds until the caller sends the request again: far less than the second or so of real callers. */
+    private static final long RETRY_INTERVAL_MILLIS = 150;
 
     private final LoopbackFleet fleet = new LoopbackFleet();
-    private final AtomicInteger ends = new AtomicInteger();
+    private final AtomicInteger endedEndpoints = new AtomicInteger();
     private final List<FakeEndpoint> endpoints = new ArrayList<>();
 
     @AfterEach
@@ -46,21 +51,21 @@
     }
 
     @Test
-    void aRequestThatMayRunOnceReachesFewEndpointsWhicheverRouterItComesTo() throws Exception {
-        reachesFewEndpoints(RequestKind.STREAM);
+    void aCrashingStreamEndsFewEndpointsAcrossAllRouters() throws Exception {
+        assertFewEndpointsEnd(RequestKind.STREAM);
     }
 
     @Test
-    void aRequestThatMayRunAgainReachesFewEndpointsWhicheverRouterItComesTo() throws Exception {
-        reachesFewEndpoints(RequestKind.RESUMABLE_STREAM);
+    void aCrashingResumableStreamEndsFewEndpointsAcrossAllRouters() throws Exception {
+        assertFewEndpointsEnd(RequestKind.RESUMABLE_STREAM);
     }
 
     @Test
-    void otherRequestsOfItsCallerAreServedAllTheWhile() throws Exception {
+    void otherRequestsAreServedWhileOneCrashesEndpoints() throws Exception {
         startFleet();
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             try (TestCaller caller = fleet.caller(arrival % ROUTERS)) {
-                caller.request("POST", LoopbackFleet.path(RequestKind.NON_IDEMPOTENT), "r" + arrival, POISON)
+                caller.request("POST", LoopbackFleet.path(RequestKind.NON_IDEMPOTENT), "r" + arrival, CRASHING_BODY)
                         .readUntil("\r\n\r\n");
             }
             for (int router = 0; router < ROUTERS; router++) {
@@ -74,32 +79,32 @@
         }
     }
 
-    private void reachesFewEndpoints(RequestKind kind) throws Exception {
+    private void assertFewEndpointsEnd(RequestKind kind) throws Exception {
         startFleet();
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             try (TestCaller caller = fleet.caller(arrival % ROUTERS)) {
-                caller.request("POST", LoopbackFleet.path(kind), "r" + arrival, POISON)
+                caller.request("POST", LoopbackFleet.path(kind), "r" + arrival, CRASHING_BODY)
                         .readUntil("\r\n\r\n");
             }
-            Thread.sleep(COMES_AGAIN_MILLIS);
+            Thread.sleep(RETRY_INTERVAL_MILLIS);
         }
-        assertWithMessage("endpoints that ended").that(ends.get()).isAtMost(MOST_ENDS);
+        assertWithMessage("endpoints that ended").that(endedEndpoints.get()).isAtMost(MAX_ENDED_ENDPOINTS);
     }
 
     private void startFleet() throws Exception {
         for (int number = 0; number < ENDPOINTS; number++) {
             endpoints.add(crashing("endpoint-" + number));
         }
-        fleet.lists(endpoints);
+        fleet.listEndpoints(endpoints);
         for (int number = 0; number < ROUTERS; number++) {
             fleet.start();
         }
     }
 
-    /** An endpoint whose process ends when it begins to run the poisoned request. */
+    /** Returns an endpoint whose process ends when it begins to run the crashing request. */
     private FakeEndpoint crashing(String id) throws IOException {
         return new FakeEndpoint(id, (request, out) -> {
-            if (request.body().equals(POISON)) {
+            if (request.body().equals(CRASHING_BODY)) {
                 end(id);
             } else {
                 write(out, whole(request, 200, "ok"));
@@ -108,7 +113,7 @@
     }
 
     private void end(String id) throws IOException {
-        ends.incrementAndGet();
+        endedEndpoints.incrementAndGet();
         endpoints.get(Integer.parseInt(id.substring(id.indexOf('-') + 1))).close();
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -108,14 +108,14 @@
         private final FleetRouter router;
         private final DirectoryTracker tracker = new DirectoryTracker();
         private final StoreClock storeClock = new StoreClock();
-        private final PeerBook peers;
+        private final PeerTable peers;
         private final StoreEra storeEra = new StoreEra();
-        private final ReaderChoice readers;
+        private final ReaderElection readers;
 
         private Member(Address address) {
             this.router = FleetRouter.unlocated(address);
-            this.peers = new PeerBook(router);
-            this.readers = new ReaderChoice(() -> nowMillis, router, peers, tracker, storeClock);
+            this.peers = new PeerTable(router);
+            this.readers = new ReaderElection(() -> nowMillis, router, peers, tracker, storeClock);
         }
 
         /** Reads the store. */
@@ -166,7 +166,7 @@
         void hears(News news) {
             peers.learn(List.of(news.from().router), nowMillis);
             Peer peer = peers.find(news.from().router.id()).orElseThrow();
-            peer.told(news.state(), PeerStates.reading(news.state(), storeEra), nowMillis);
+            peer.recordState(news.state(), RoutingMessageMapper.toListReading(news.state(), storeEra), nowMillis);
             news.state().leaving().forEach(tracker::statedLeaving);
             ListReading told = peer.listReading();
             if (news.state().directoryHash() == tracker.hash()) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DocumentSpreadTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DocumentDistributionTest.java
@@ -11,29 +11,30 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Checks how soon configurations are in force in large fleets on small links, and what they cost there.
+ * Checks how soon configurations are in force in large fleets with narrow links.
  *
- * <p>Seen: with a configuration of 1,500 routes and links of 10 Mbit/s versions came into force 3 to 12 s after they were published,
- * and after a loss of power the fleet had none for 4 s and longer. How it came about: a gatherer gave the whole document to each
- * member of its group over its own link; each transfer was given up after 0.8 s, moving or not, and begun anew; a router that
- * was behind got all versions that it had missed.
+ * <p>Guards against slow distribution: with a configuration of 1,500 routes and links of 10 Mbit/s, versions came into
+ * force 3 to 12 s after they were published, and after a loss of power the fleet had none for 4 s or longer. There were
+ * three causes. A gatherer sent the whole document to each member of its group over its own link. Each transfer was
+ * given up after 0.8 s, whether it made progress or not, and started again. A router that was behind got all versions
+ * that it had missed.
  */
-final class DocumentSpreadTest {
+final class DocumentDistributionTest {
     private static final Duration SETTLING = Duration.ofSeconds(3);
     private static final Duration ALL_STARTED = Duration.ofMillis(VirtualFleet.START_SPREAD_MILLIS);
-    private static final Duration LOOK = Duration.ofMillis(100);
-    private static final long ENOUGH_MILLIS = 12_000;
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
+    private static final long TIMEOUT_MILLIS = 12_000;
 
     @ParameterizedTest
     @CsvSource({
-        // bytes, routers, data centres, megabits, in force within milliseconds
+        // bytes, routers, data centres, megabits per second, maximum milliseconds until in force
         "10000, 370, 9, 7, 1000",
         "500000, 23, 6, 10, 1500",
         "500000, 95, 6, 14, 1500",
         "500000, 370, 9, 20, 1500",
         "4194304, 95, 6, 140, 2000",
     })
-    void aChangeIsInForceInTime(int bytes, int routers, int dataCentres, double megabits, long withinMillis) {
+    void anUpdateReachesAllRoutersInTime(int bytes, int routers, int dataCentres, double megabits, long withinMillis) {
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, 65, megabits);
         fleet.publish(1, bytes);
         fleet.startAll();
@@ -45,10 +46,13 @@
         assertThat(awaitInForce(fleet, 2) - publishedAtMillis).isAtMost(withinMillis);
     }
 
-    /** By then only three routers wait for configurations at the store; the others are told by peers. */
+    /**
+     * After the settling time only three routers wait at the store for configurations. The others get them from peers.
+     */
     @ParameterizedTest
     @CsvSource({"23, 6, 10, 1500", "95, 6, 14, 1500", "95, 2, 14, 1500"})
-    void routersThatDoNotAskTheStoreAreGivenItInTime(int routers, int dataCentres, double megabits, long withinMillis) {
+    void routersThatDoNotReadTheStoreAreUpdatedInTime(
+            int routers, int dataCentres, double megabits, long withinMillis) {
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, 65, megabits);
         fleet.publish(1, 500_000);
         fleet.startAll();
@@ -60,33 +64,33 @@
         assertThat(awaitInForce(fleet, 2) - publishedAtMillis).isAtMost(withinMillis);
     }
 
-    /** What may happen to a router that gives a document to a whole group. */
-    private enum Mishap {
-        ENDS {
+    /** A failure of a router that is serving a document to its whole group. */
+    private enum GathererFailure {
+        KILLED {
             @Override
-            void befalls(VirtualFleet fleet, String router) {
+            void applyTo(VirtualFleet fleet, String router) {
                 fleet.kill(router);
             }
         },
-        STANDS_STILL {
+        FROZEN {
             @Override
-            void befalls(VirtualFleet fleet, String router) {
+            void applyTo(VirtualFleet fleet, String router) {
                 Objects.requireNonNull(fleet.find(router)).frozen(true);
             }
         },
-        CUT_OFF {
+        PARTITIONED {
             @Override
-            void befalls(VirtualFleet fleet, String router) {
+            void applyTo(VirtualFleet fleet, String router) {
                 fleet.network().cut(router, true);
             }
         };
 
-        abstract void befalls(VirtualFleet fleet, String router);
+        abstract void applyTo(VirtualFleet fleet, String router);
     }
 
     @ParameterizedTest
-    @EnumSource(Mishap.class)
-    void theOthersAreGivenItAlthoughTheirGathererIsLost(Mishap mishap) {
+    @EnumSource(GathererFailure.class)
+    void membersAreUpdatedAlthoughTheirGathererFails(GathererFailure failure) {
         VirtualFleet fleet = new VirtualFleet(23, 3, 65, 14);
         String gatherer = "10.0.0.1:7640";
         fleet.publish(1, 500_000);
@@ -96,8 +100,8 @@
         fleet.publish(2, 500_000);
         fleet.pass(Duration.ofMillis(300));
 
-        mishap.befalls(fleet, gatherer);
-        fleet.pass(Duration.ofMillis(ENOUGH_MILLIS));
+        failure.applyTo(fleet, gatherer);
+        fleet.pass(Duration.ofMillis(TIMEOUT_MILLIS));
 
         long lastMillis = fleet.routers().stream()
                 .filter(router -> !router.self().id().equals(gatherer))
@@ -107,10 +111,10 @@
         assertThat(lastMillis - publishedAtMillis).isAtMost(3_000);
     }
 
-    /** It is given the newest alone: all five versions would take 2 s on its link. */
+    /** The router must get only the newest version: all five versions would take 2 s on its link. */
     @ParameterizedTest
     @CsvSource({"10.0.0.1:7640", "10.1.0.3:7640", "10.2.0.7:7640"})
-    void aRouterThatMissedFiveVersionsBehindACutIsGivenTheNewestInTime(String router) {
+    void aRouterGetsTheNewestVersionInTimeAfterAPartition(String router) {
         VirtualFleet fleet = new VirtualFleet(23, 3, 65, 14);
         fleet.publish(1, 500_000);
         fleet.startAll();
@@ -122,13 +126,13 @@
             fleet.pass(Duration.ofMillis(800));
         }
         fleet.network().cut(router, false);
-        long mendedAtMillis = fleet.scheduler().millis();
+        long reconnectedAtMillis = fleet.scheduler().millis();
 
-        assertThat(awaitInForce(fleet, versions) - mendedAtMillis).isAtMost(2_000);
+        assertThat(awaitInForce(fleet, versions) - reconnectedAtMillis).isAtMost(2_000);
     }
 
     @Test
-    void theLastOfAStormIsInForceInTime() {
+    void theLastOfManyRapidUpdatesReachesAllRoutersInTime() {
         VirtualFleet fleet = new VirtualFleet(95, 6, 65, 14);
         int bytes = 500_000;
         fleet.publish(1, bytes);
@@ -146,7 +150,7 @@
 
     @ParameterizedTest
     @CsvSource({"23, 6, 10, 1500", "95, 6, 20, 1500", "370, 9, 20, 1500"})
-    void aFleetThatStartsAtOnceServesSoon(int routers, int dataCentres, double megabits, long withinMillis) {
+    void aFleetThatStartsAllAtOnceServesInTime(int routers, int dataCentres, double megabits, long withinMillis) {
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, 65, megabits);
         fleet.publish(1, 500_000);
         fleet.startAll();
@@ -158,11 +162,11 @@
         }
     }
 
-    /** Returns when the last router had a version in force. */
+    /** Returns when the last router put a version in force, or {@link Long#MAX_VALUE} if that took too long. */
     private static long awaitInForce(VirtualFleet fleet, long version) {
-        long endMillis = fleet.scheduler().millis() + ENOUGH_MILLIS;
+        long endMillis = fleet.scheduler().millis() + TIMEOUT_MILLIS;
         while (fleet.scheduler().millis() < endMillis && lastInForceMillis(fleet, version) == Long.MAX_VALUE) {
-            fleet.pass(LOOK);
+            fleet.pass(POLL_INTERVAL);
         }
         return lastInForceMillis(fleet, version);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/GatheringPlanTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/GatheringPlanTest.java
@@ -11,82 +11,85 @@
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.fleet.FleetRouter;
 
-/** Checks who gathers for whom. Routers stand in three data centres by turns; the later ones are larger. */
+/**
+ * Checks which routers gather the work of which others. Routers are assigned to three data centres in turn, and routers
+ * with higher numbers are larger.
+ */
 final class GatheringPlanTest {
-    private static final int PLACES = 3;
+    private static final int DATA_CENTRES = 3;
     private static final int LARGE_FLEET = 30;
     private static final long NOW = 10_000;
 
     @Test
-    void inASmallFleetEveryoneTellsEveryone() {
+    void everyRouterReportsToAllInASmallFleet() {
         GatheringPlan plan = GatheringPlan.of(router(0), peers(1, 9), NOW);
         assertThat(plan.gathers()).isTrue();
-        assertThat(plan.otherGatherers()).hasSize(8);
+        assertThat(plan.peerGatherers()).hasSize(8);
     }
 
     @Test
-    void aMemberTellsTheLargestOfItsDataCentre() {
+    void aMemberReportsToTheLargestRouterOfItsDataCentre() {
         GatheringPlan plan = GatheringPlan.of(router(0), peers(1, LARGE_FLEET), NOW);
-        assertThat(plan.otherGatherer().map(Peer::id)).hasValue(router(27).id());
-        assertThat(plan.otherGatherers()).isEmpty();
+        assertThat(plan.ownGatherer().map(Peer::id)).hasValue(router(27).id());
+        assertThat(plan.peerGatherers()).isEmpty();
     }
 
     @Test
-    void theLargestGathersAndTellsTheLargestElsewhere() {
+    void theLargestRouterGathersAndReportsToTheLargestOfOtherDataCentres() {
         GatheringPlan plan = GatheringPlan.of(router(27), peers(0, 27, 28, LARGE_FLEET), NOW);
         assertThat(plan.gathers()).isTrue();
-        assertThat(ids(plan.otherGatherers()))
+        assertThat(ids(plan.peerGatherers()))
                 .containsExactly(router(28).id(), router(29).id());
     }
 
     @Test
-    void aGathererThatDoesNotAnswerIsReplacedByTheNext() {
+    void aSuspectedGathererIsReplacedByTheNextLargest() {
         List<Peer> peers = peers(1, LARGE_FLEET);
-        find(peers, 27).suspect(NOW);
+        find(peers, 27).markSuspected(NOW);
         GatheringPlan plan = GatheringPlan.of(router(0), peers, NOW);
-        assertThat(plan.otherGatherer().map(Peer::id)).hasValue(router(24).id());
+        assertThat(plan.ownGatherer().map(Peer::id)).hasValue(router(24).id());
     }
 
     @Test
-    void whoeverSpeaksForAGroupIsTold() {
+    void aPeerThatActsAsGathererIsReportedTo() {
         List<Peer> peers = peers(0, 27, 28, LARGE_FLEET);
-        find(peers, 4).told(state(WorkScope.GROUP), ListReading.NONE, NOW);
+        find(peers, 4).recordState(state(WorkScope.GROUP), ListReading.NONE, NOW);
         GatheringPlan plan = GatheringPlan.of(router(27), peers, NOW);
-        assertThat(ids(plan.otherGatherers()))
+        assertThat(ids(plan.peerGatherers()))
                 .containsExactly(router(4).id(), router(29).id());
     }
 
     @Test
-    void aDataCentreOfWhichNobodyAnswersIsToldNothing() {
+    void aDataCentreWithOnlySuspectedRoutersIsSkipped() {
         List<Peer> peers = peers(0, 27, 28, LARGE_FLEET);
-        for (int number = 1; number < LARGE_FLEET; number += PLACES) {
-            find(peers, number).suspect(NOW);
+        for (int number = 1; number < LARGE_FLEET; number += DATA_CENTRES) {
+            find(peers, number).markSuspected(NOW);
         }
         GatheringPlan plan = GatheringPlan.of(router(27), peers, NOW);
-        assertThat(ids(plan.otherGatherers())).containsExactly(router(29).id());
+        assertThat(ids(plan.peerGatherers())).containsExactly(router(29).id());
     }
 
     @Test
-    void aPeerThatOwesAnAnswerIsSilentUntilItIsHeard() {
+    void aReplyIsOverdueUntilThePeerSendsAMessage() {
         Peer peer = new Peer(router(1), 0);
-        peer.asked(0);
-        peer.asked(1_000);
-        assertThat(peer.silent(Peer.SILENT_MILLIS)).isFalse();
-        assertThat(peer.silent(Peer.SILENT_MILLIS + 1)).isTrue();
-        peer.told(state(WorkScope.GROUP), ListReading.NONE, Peer.SILENT_MILLIS + 1);
-        assertThat(peer.silent(Peer.SILENT_MILLIS + 1)).isFalse();
+        peer.expectReply(0);
+        peer.expectReply(1_000);
+        assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS)).isFalse();
+        assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS + 1)).isTrue();
+        peer.recordState(state(WorkScope.GROUP), ListReading.NONE, Peer.REPLY_TIMEOUT_MILLIS + 1);
+        assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS + 1)).isFalse();
     }
 
     @Test
-    void aSuspectedPeerIsTriedAgainAfterLongerAndLongerPauses() {
+    void probesOfASuspectedPeerBackOff() {
         Peer peer = new Peer(router(1), 0);
-        assertThat(peer.suspect(0)).isTrue();
+        assertThat(peer.markSuspected(0)).isTrue();
         assertThat(peer.probeDue(999)).isFalse();
         assertThat(peer.probeDue(1_000)).isTrue();
-        assertThat(peer.suspect(1_000)).isFalse();
+        assertThat(peer.markSuspected(1_000)).isFalse();
         assertThat(peer.probeDue(2_999)).isFalse();
         assertThat(peer.probeDue(3_000)).isTrue();
-        assertThat(peer.heard(3_000)).isTrue();
+        assertThat(peer.recordContact(3_000)).isTrue();
         assertThat(peer.suspected()).isFalse();
     }
 
@@ -98,8 +101,8 @@
     private static FleetRouter router(int number) {
         return new FleetRouter(
                 new Address("10.0.0." + (number + 1), 7_340),
-                new DataCentre("place-" + number % PLACES),
-                Math.floor(number / (double) PLACES));
+                new DataCentre("place-" + number % DATA_CENTRES),
+                Math.floor(number / (double) DATA_CENTRES));
     }
 
     private static List<Peer> peers(int from, int to) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/LoopbackFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/LoopbackFleet.java
@@ -25,60 +25,63 @@
 import org.radishpass.routing.traffic.CallerSocket;
 import reactor.netty.resources.LoopResources;
 
-/** Whole routers over loopback that share a store and tell each other; they serve one route for each {@link RequestKind}. */
+/**
+ * Runs complete routers over loopback that share a store and report to each other. They serve one route for each {@link
+ * RequestKind}.
+ */
 final class LoopbackFleet implements AutoCloseable {
     private static final String SERVICE = "service";
-    private static final int MOST_TRIES = 2_000;
-    private static final long PAUSE_MILLIS = 10;
+    private static final int MAX_POLLS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 10;
 
-    /** Bytes of work messages that a router has received of each other one once they surely know each other. */
-    private static final int ACQUAINTED_BYTES = 300;
+    /** Bytes of state messages from each other router after which all routers surely know each other. */
+    private static final int MIN_STATE_BYTES_PER_PEER = 300;
 
     private final LoopResources loops = LoopResources.create("fleet", 2, 2, true, false);
     private final FakeStore store = new FakeStore();
     private final List<Started> routers = new ArrayList<>();
-    private final List<RoutedRouter> toClose = new ArrayList<>();
+    private final List<RoutedRouter> openRouters = new ArrayList<>();
 
     LoopbackFleet() {
         store.publish("1");
     }
 
-    /** Returns the path of the route of a kind. */
+    /** Returns the path of the route for a request kind. */
     static String path(RequestKind kind) {
         return "/" + kind.name() + "/";
     }
 
     /** Lists endpoints in the store. */
-    LoopbackFleet lists(List<FakeEndpoint> endpoints) {
+    LoopbackFleet listEndpoints(List<FakeEndpoint> endpoints) {
         store.list(
                 endpoints.stream().map(endpoint -> endpoint.endpoint(SERVICE)).toArray(ServiceEndpoint[]::new));
         return this;
     }
 
-    /** Starts a router, and waits until it and the others know each other and serve. */
+    /** Starts a router, and waits until it and the others know each other and serve callers. */
     LoopbackFleet start() throws Exception {
-        Address peers = freeAddress();
+        Address peerAddress = freeAddress();
         SimpleMeterRegistry metrics = new SimpleMeterRegistry();
         CallerSocket callers = CallerSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         RoutedRouter router = RoutedRouter.builder(loops, store.link(), content -> configuration(), new PlainDialect())
                 .metrics(metrics)
-                .peerAddress(peers)
+                .peerAddress(peerAddress)
                 .home(new DataCentre("here"))
                 .build();
-        toClose.add(router);
+        openRouters.add(router);
         router.start(
                 callers,
                 new RetryAllowance(1, 100, 10_000),
-                routers.stream().map(Started::peers).toList());
-        routers.add(new Started(callers.port(), peers, metrics));
+                routers.stream().map(Started::peerAddress).toList());
+        routers.add(new Started(callers.port(), peerAddress, metrics));
         router.awaitServing();
         for (Started other : routers) {
-            awaitAcquainted(other);
+            awaitPeersKnown(other);
         }
         return this;
     }
 
-    /** Connects a caller to a router, by its number in the order of starts. */
+    /** Connects a caller to a router, by the number of the router in the order of starts. */
     TestCaller caller(int router) throws IOException {
         return new TestCaller(routers.get(router).port());
     }
@@ -89,16 +92,16 @@
 
     @Override
     public void close() {
-        toClose.forEach(RoutedRouter::close);
+        openRouters.forEach(RoutedRouter::close);
         loops.dispose();
     }
 
-    private void awaitAcquainted(Started router) throws InterruptedException {
-        double wanted = ACQUAINTED_BYTES * (routers.size() - 1.0);
-        for (int attempt = 0; attempt < MOST_TRIES && stateBytes(router) < wanted; attempt++) {
-            Thread.sleep(PAUSE_MILLIS);
+    private void awaitPeersKnown(Started router) throws InterruptedException {
+        double minBytes = MIN_STATE_BYTES_PER_PEER * (routers.size() - 1.0);
+        for (int attempt = 0; attempt < MAX_POLLS && stateBytes(router) < minBytes; attempt++) {
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        assertThat(stateBytes(router)).isAtLeast(wanted);
+        assertThat(stateBytes(router)).isAtLeast(minBytes);
     }
 
     private static double stateBytes(Started router) {
@@ -124,7 +127,10 @@
         return configuration.build();
     }
 
-    /** Outgoing connections, whose ports the kernel picks, come from another loopback address. */
+    /**
+     * Returns a free address on which a router can listen for peers. Outgoing connections, whose ports the kernel
+     * picks, come from another loopback address and so do not take it.
+     */
     private static Address freeAddress() throws IOException {
         InetAddress host = InetAddress.getByName("127.0.77.3");
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
@@ -132,6 +138,6 @@
         }
     }
 
-    /** A router that has been started. */
-    private record Started(int port, Address peers, SimpleMeterRegistry metrics) {}
+    /** A started router. */
+    private record Started(int port, Address peerAddress, SimpleMeterRegistry metrics) {}
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/PeerDisconnectTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/PeerDisconnectTest.java
@@ -29,20 +29,22 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * Checks that the end of one connection between two routers is not the end of the others. It was: after four of seven routers had
- * stood still for 4 s, all closed and dialled 300 connections a second each until the end of the day.
+ * Checks that the end of one connection between two routers does not end the others.
+ *
+ * <p>Guards against routers that close each other's connections without end: after four of seven routers had been
+ * frozen for 4 s, all routers closed and redialled 300 connections a second each.
  */
 final class PeerDisconnectTest {
     private static final DataCentre HOME = new DataCentre("here");
 
-    /** Messages of work after which a link that was closed has been dialled anew. */
-    private static final int MESSAGES = 4;
+    /** State messages after which a closed link would have been dialled again. */
+    private static final int STATE_MESSAGES = 4;
 
-    /** A message of work has at least that many. */
-    private static final int LEAST_STATE_BYTES = 60;
+    /** Minimum size of a state message in bytes. */
+    private static final int MIN_STATE_BYTES = 60;
 
-    private static final int MOST_TRIES = 2_000;
-    private static final long PAUSE_MILLIS = 10;
+    private static final int MAX_POLLS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 10;
 
     private final LoopResources loops = LoopResources.create("test", 2, 2, true, false);
     private final FakeStore store = new FakeStore();
@@ -63,18 +65,18 @@
         Address second = freeAddress();
         start(first, List.of(), atFirst);
         start(second, List.of(first), atSecond);
-        awaitStates(atSecond, MESSAGES);
-        double dialled = bytes(atSecond, "Introduction");
+        awaitStateMessages(atSecond, STATE_MESSAGES);
+        double introductionBytes = receivedBytes(atSecond, "Introduction");
 
-        endAConnection(first, new FleetRouter(second, HOME, 1), atFirst);
-        awaitStates(atSecond, (int) states(atSecond) + MESSAGES);
+        openAndCloseConnection(first, new FleetRouter(second, HOME, 1), atFirst);
+        awaitStateMessages(atSecond, (int) stateMessages(atSecond) + STATE_MESSAGES);
 
-        assertThat(bytes(atSecond, "Introduction")).isEqualTo(dialled);
+        assertThat(receivedBytes(atSecond, "Introduction")).isEqualTo(introductionBytes);
     }
 
-    /** Connects to a router in the name of another one, and closes the connection. */
-    private void endAConnection(Address to, FleetRouter name, SimpleMeterRegistry atRouter) throws Exception {
-        double before = bytes(atRouter, "Introduction");
+    /** Connects to a router in the name of another router, and closes the connection. */
+    private void openAndCloseConnection(Address to, FleetRouter sender, SimpleMeterRegistry atRouter) throws Exception {
+        double before = receivedBytes(atRouter, "Introduction");
         PeerHandler silent = new PeerHandler() {
             @Override
             public Mono<PeerMessage> handle(String from, PeerMessage message) {
@@ -83,7 +85,7 @@
 
             @Override
             public void disconnected(String from) {
-                // the test ends it itself
+                // the test itself ends the connection
             }
         };
         Address own = freeAddress();
@@ -92,17 +94,17 @@
                 loops,
                 silent,
                 new TrafficMeter(new SimpleMeterRegistry()),
-                () -> new RoutingMessage.Introduction(PeerStates.entry(name)))) {
+                () -> new RoutingMessage.Introduction(RoutingMessageMapper.toEntry(sender)))) {
             node.send(
                     new org.radishpass.core.fleet.Vm(to.toString(), HOME, to, false),
-                    new RoutingMessage.RouterList(List.of(PeerStates.entry(name))));
-            for (int attempt = 0; attempt < MOST_TRIES && bytes(atRouter, "Introduction") == before; attempt++) {
-                Thread.sleep(PAUSE_MILLIS);
+                    new RoutingMessage.RouterList(List.of(RoutingMessageMapper.toEntry(sender))));
+            for (int attempt = 0; attempt < MAX_POLLS && receivedBytes(atRouter, "Introduction") == before; attempt++) {
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
         }
     }
 
-    private void start(Address peers, List<Address> seeds, SimpleMeterRegistry metrics) throws IOException {
+    private void start(Address peerAddress, List<Address> seeds, SimpleMeterRegistry metrics) throws IOException {
         CallerSocket callers = CallerSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         RoutedRouter router = RoutedRouter.builder(
                         loops,
@@ -110,27 +112,27 @@
                         content -> RoutingConfiguration.builder(1).build(),
                         new PlainDialect())
                 .metrics(metrics)
-                .peerAddress(peers)
+                .peerAddress(peerAddress)
                 .home(HOME)
                 .build();
         routers.add(router);
         router.start(callers, RetryAllowance.DEFAULT, seeds);
     }
 
-    private static void awaitStates(SimpleMeterRegistry metrics, int messages) throws InterruptedException {
-        for (int attempt = 0; attempt < MOST_TRIES && states(metrics) < messages; attempt++) {
-            Thread.sleep(PAUSE_MILLIS);
+    private static void awaitStateMessages(SimpleMeterRegistry metrics, int messages) throws InterruptedException {
+        for (int attempt = 0; attempt < MAX_POLLS && stateMessages(metrics) < messages; attempt++) {
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        assertThat(states(metrics)).isAtLeast(messages);
+        assertThat(stateMessages(metrics)).isAtLeast(messages);
     }
 
-    /** Returns about how many messages of work have come. */
-    private static double states(SimpleMeterRegistry metrics) {
-        return Math.floor(bytes(metrics, "RoutingState") / LEAST_STATE_BYTES);
+    /** Returns the approximate number of state messages that were received. */
+    private static double stateMessages(SimpleMeterRegistry metrics) {
+        return Math.floor(receivedBytes(metrics, "RoutingState") / MIN_STATE_BYTES);
     }
 
-    /** Returns the bytes of a kind of message that have come. */
-    private static double bytes(SimpleMeterRegistry metrics, String kind) {
+    /** Returns the number of received bytes in messages of a kind. */
+    private static double receivedBytes(SimpleMeterRegistry metrics, String kind) {
         Counter counter = metrics.find("radishpass.control.bytes")
                 .tag("direction", "received")
                 .tag("kind", kind)
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ReadingDutyTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ReadingDutyTest.java
@@ -11,7 +11,7 @@
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.fleet.FleetRouter;
 
-/** Checks who reads the store, and how long a failing one is left alone. */
+/** Checks which routers read the store, and how long a router waits before it reads a failing store again. */
 final class ReadingDutyTest {
     @ParameterizedTest
     @CsvSource({
@@ -22,22 +22,22 @@
         "true, 50, NONE",
         "false, 4, ALL"
     })
-    void theFirstThatCanReadsAllAndTwoMoreTheConfiguration(boolean readBefore, int before, ReadingDuty duty) {
-        assertThat(ReadingDuty.of(readBefore, before)).isEqualTo(duty);
+    void theFirstReaderReadsAllAndTheNextTwoTheConfiguration(boolean precedingReads, int preceding, ReadingDuty duty) {
+        assertThat(ReadingDuty.of(precedingReads, preceding)).isEqualTo(duty);
     }
 
     @Test
-    void aPeerThatHasItsListFromOthersIsNotOneThatReads() {
-        Peer refused = new Peer(FleetRouter.unlocated(new Address("10.0.0.1", 7_340)), 0);
+    void aListFromAnotherPeerDoesNotCountAsOwnReading() {
+        Peer peer = new Peer(FleetRouter.unlocated(new Address("10.0.0.1", 7_340)), 0);
         RoutingMessage.RoutingState state = new RoutingMessage.RoutingState(
                 1, 1, List.of(), 0, 9_900, true, List.of(), WorkScope.GROUP, 1_000, List.of(), List.of(), 1, 1);
-        refused.told(state, PeerStates.reading(state, new StoreEra()), 10_000);
-        assertThat(refused.listReading().storeMillis()).isEqualTo(9_900);
-        assertThat(refused.ownReadStoreMillis()).isEqualTo(1_000);
+        peer.recordState(state, RoutingMessageMapper.toListReading(state, new StoreEra()), 10_000);
+        assertThat(peer.listReading().storeMillis()).isEqualTo(9_900);
+        assertThat(peer.ownReadStoreMillis()).isEqualTo(1_000);
     }
 
     @Test
-    void pausesGrowToABoundAndStartAnewAfterAnAnswer() {
+    void retryPausesGrowToABoundAndResetAfterAnAnswer() {
         RetryPause pause = new RetryPause();
         long first = pause.next().toMillis();
         assertThat(first).isAtLeast(350);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/RegistryCleanerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/RegistryCleanerTest.java
@@ -9,7 +9,7 @@
 import org.radishpass.routing.fleet.FleetRouter;
 import org.radishpass.routing.testing.FakeStore;
 
-/** Checks that registrations of routers that are gone do not stay for ever. */
+/** Checks that registrations of lost routers are removed. */
 final class RegistryCleanerTest {
     private static final FleetRouter SELF = router(1);
     private static final FleetRouter GONE = router(2);
@@ -18,7 +18,7 @@
     private final FakeStore store = new FakeStore();
 
     @Test
-    void onlyTheRegistrationsOfThoseThatAreGoneAreRemoved() {
+    void onlyRegistrationsOfGoneRoutersAreRemoved() {
         FakeStore.Link link = store.link();
         link.register(SELF).block();
         link.register(GONE).block();
@@ -28,20 +28,20 @@
     }
 
     @Test
-    void whileTheStoreIsAwayNothingIsRemoved() {
+    void nothingIsRemovedWhileTheStoreIsUnavailable() {
         store.link().register(GONE).block();
         new RegistryCleaner(store.link().cut(true)).clean(List.of(GONE)).block();
         assertThat(routers(store.link())).containsExactly(GONE);
     }
 
     @Test
-    void aRouterIsForgottenOnlyAfterNobodyHasSpokenOfItForLong() {
-        PeerBook book = new PeerBook(SELF);
-        book.learn(List.of(GONE, ALIVE), 0);
-        book.learn(List.of(ALIVE), 1);
-        assertThat(book.forget(PeerBook.FORGET_MILLIS)).isEmpty();
-        assertThat(book.forget(PeerBook.FORGET_MILLIS + 1)).containsExactly(GONE);
-        assertThat(book.routers()).isEqualTo(2);
+    void aRouterExpiresOnlyWhenNotMentionedForTheWholePeriod() {
+        PeerTable peers = new PeerTable(SELF);
+        peers.learn(List.of(GONE, ALIVE), 0);
+        peers.learn(List.of(ALIVE), 1);
+        assertThat(peers.removeExpired(PeerTable.EXPIRY_MILLIS)).isEmpty();
+        assertThat(peers.removeExpired(PeerTable.EXPIRY_MILLIS + 1)).containsExactly(GONE);
+        assertThat(peers.routerCount()).isEqualTo(2);
     }
 
     private static List<FleetRouter> routers(FakeStore.Link link) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
@@ -27,12 +27,12 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * Checks routers that share a store over loopback, and lose it. A configuration here is a text {@code VERSION:PREFIX}: it has
- * one route for the prefix.
+ * Checks routers that share a store over loopback, with and without access to it. Configurations in this test are texts
+ * of the form {@code VERSION:PREFIX}, with one route for the prefix.
  */
 final class RoutedRouterTest {
     private static final String SERVICE = "service";
-    private static final int MOST_TRIES = 20_000;
+    private static final int MAX_ATTEMPTS = 20_000;
 
     private final FakeStore store = new FakeStore();
     private final LoopResources loops = LoopResources.create("test", 2, 2, true, false);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRouterThatKnowsNothingSaysSoAfterAWhile() throws Exception {
+    void aRouterWithoutConfigurationAnswers503() throws Exception {
         int router = start(store.link().cut(true), List.of()).port();
         awaitStatus(router, "/a/", 503);
     }
@@ -70,7 +70,8 @@
             store.publish("1:/a/");
             store.list(endpoint.endpoint(SERVICE));
             Started reader = start(store.link(), List.of());
-            int cutOff = start(store.link().cut(true), List.of(reader.peers())).port();
+            int cutOff =
+                    start(store.link().cut(true), List.of(reader.peerAddress())).port();
             awaitStatus(cutOff, "/a/", 200);
 
             endpoint.close();
@@ -81,14 +82,14 @@
     }
 
     @Test
-    void anOlderConfigurationNeverComesBack() throws Exception {
+    void anOlderConfigurationNeverReplacesANewerOne() throws Exception {
         try (FakeEndpoint endpoint = answering("first")) {
             store.publish("5:/new/");
             store.list(endpoint.endpoint(SERVICE));
             Started first = start(store.link(), List.of());
             awaitStatus(first.port(), "/new/", 200);
             store.publish("4:/old/");
-            Started second = start(store.link(), List.of(first.peers()));
+            Started second = start(store.link(), List.of(first.peerAddress()));
             awaitStatus(second.port(), "/new/", 200);
             awaitStatus(first.port(), "/old/", 404);
             awaitStatus(first.port(), "/new/", 200);
@@ -96,13 +97,13 @@
     }
 
     @Test
-    void inALargeFleetARouterCutOffFromTheStoreLearnsFromItsGatherer() throws Exception {
+    void aRouterCutOffFromTheStoreLearnsFromItsGathererInALargeFleet() throws Exception {
         try (FakeEndpoint endpoint = answering("first")) {
             store.publish("1:/a/");
             store.list(endpoint.endpoint(SERVICE));
             List<Address> seeds = new ArrayList<>();
-            for (int number = 0; number <= GatheringPlan.FLAT_FLEET; number++) {
-                seeds.add(start(store.link(), List.of()).peers());
+            for (int number = 0; number <= GatheringPlan.MAX_FULL_MESH_ROUTERS; number++) {
+                seeds.add(start(store.link(), List.of()).peerAddress());
             }
             int cutOff = start(store.link().cut(true), seeds).port();
             awaitStatus(cutOff, "/a/", 200);
@@ -113,7 +114,7 @@
     }
 
     @Test
-    void aConfigurationIsFoundAlthoughTheWaitForItHangs() throws Exception {
+    void aConfigurationIsFoundAlthoughWaitingForChangesHangs() throws Exception {
         try (FakeEndpoint endpoint = answering("first")) {
             store.publish("1:/a/");
             store.list(endpoint.endpoint(SERVICE));
@@ -129,20 +130,20 @@
     }
 
     private Started start(ControlSource source, List<Address> seeds) throws IOException {
-        Address peers = freeAddress();
+        Address peerAddress = freeAddress();
         CallerSocket callers = CallerSocket.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         RoutedRouter router = RoutedRouter.builder(loops, source, RoutedRouterTest::decode, new PlainDialect())
-                .peerAddress(peers)
+                .peerAddress(peerAddress)
                 .home(new DataCentre("here"))
                 .build();
         routers.add(router);
         router.start(callers, RetryAllowance.DEFAULT, seeds);
-        return new Started(callers.port(), peers);
+        return new Started(callers.port(), peerAddress);
     }
 
     /**
-     * Finds an address for peers that stays free until it is used, some 0.4 s later: outgoing connections, whose ports the kernel
-     * picks, come from another loopback address.
+     * Returns an address on which a router can listen for peers, and which stays free until then, some 0.4 s later.
+     * Outgoing connections, whose ports the kernel picks, come from another loopback address.
      */
     private static Address freeAddress() throws IOException {
         InetAddress host = InetAddress.getByName("127.0.77.1");
@@ -154,7 +155,7 @@
     private static void awaitStatus(int port, String path, int status) throws IOException {
         String answer = "";
         try (TestCaller caller = new TestCaller(port)) {
-            for (int attempt = 0; attempt < MOST_TRIES; attempt++) {
+            for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
                 answer = caller.request("GET", path, "r" + attempt, "").readUntil("\r\n\r\n");
                 caller.readBody(answer);
                 if (answer.startsWith("HTTP/1.1 " + status)) {
@@ -176,6 +177,6 @@
                 .build();
     }
 
-    /** A router that has been started. */
-    private record Started(int port, Address peers) {}
+    /** A started router. */
+    private record Started(int port, Address peerAddress) {}
 }
--- /dev/null
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
@@ -0,0 +1,94 @@
+package org.radishpass.routing.control;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.radishpass.routing.quarantine.RequestFingerprint;
+import org.radishpass.routing.quarantine.Standing;
+
+/**
+ * Checks in virtual time that all routers soon know of a request that crashes its endpoints, including routers that
+ * start later.
+ */
+final class SuspectDistributionTest {
+    private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 2, 3);
+    private static final Duration WARM_UP = Duration.ofSeconds(12);
+
+    /**
+     * Interval at which the request is sent to the next endpoint, including the 100 ms after which that endpoint ends.
+     */
+    private static final Duration RESEND_INTERVAL = Duration.ofMillis(120);
+
+    /** A tenth of the time for which the request may still reach endpoints after it has ended three of them. */
+    private static final Duration DISTRIBUTION_TIME = Duration.ofMillis(300);
+
+    @ParameterizedTest
+    @ValueSource(ints = {9, 60, 370})
+    void endsSeenInDifferentDataCentresQuarantineTheRequestOnAllRouters(int count) {
+        VirtualFleet fleet = started(count);
+        List<VirtualRouter> routers = List.copyOf(fleet.routers());
+        routers.get(count - 1).suspects().endedUnder(REQUEST, 1);
+        fleet.pass(DISTRIBUTION_TIME);
+        routers.get(count / 2).suspects().endedUnder(REQUEST, 2);
+        fleet.pass(DISTRIBUTION_TIME);
+        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+
+        routers.get(0).suspects().answered(REQUEST);
+        fleet.pass(DISTRIBUTION_TIME);
+        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {9, 60})
+    void aRestartedRouterLearnsOfTheQuarantineFromItsPeers(int count) {
+        VirtualFleet fleet = started(count);
+        List<VirtualRouter> routers = List.copyOf(fleet.routers());
+        routers.get(1).suspects().endedUnder(REQUEST, 1);
+        fleet.pass(RESEND_INTERVAL);
+        routers.get(2).suspects().endedUnder(REQUEST, 2);
+        fleet.pass(DISTRIBUTION_TIME);
+
+        fleet.restart(count - 1);
+        fleet.pass(Duration.ofSeconds(2));
+        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+    }
+
+    /** After all routers have lost power, only the store still has the quarantine. */
+    @Test
+    void theQuarantineSurvivesARestartOfAllRouters() {
+        VirtualFleet fleet = started(9);
+        List<VirtualRouter> routers = List.copyOf(fleet.routers());
+        routers.get(1).suspects().endedUnder(REQUEST, 1);
+        fleet.pass(RESEND_INTERVAL);
+        routers.get(2).suspects().endedUnder(REQUEST, 2);
+        fleet.pass(DISTRIBUTION_TIME);
+        fleet.restartAll();
+        fleet.pass(DISTRIBUTION_TIME);
+        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+
+        List.copyOf(fleet.routers()).get(4).suspects().answered(REQUEST);
+        fleet.pass(DISTRIBUTION_TIME);
+        fleet.restartAll();
+        fleet.pass(DISTRIBUTION_TIME);
+        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+    }
+
+    private static VirtualFleet started(int count) {
+        VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
+        fleet.publish(1, 2_000);
+        fleet.startAll();
+        fleet.pass(WARM_UP);
+        return fleet;
+    }
+
+    private static List<Standing> standings(VirtualFleet fleet) {
+        return fleet.routers().stream()
+                .map(router -> router.suspects().standing(REQUEST))
+                .distinct()
+                .toList();
+    }
+}
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
@@ -16,10 +16,13 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.testing.VirtualScheduler;
 
-/** Routers with their whole control side, their store and the links between them, in virtual time. */
+/**
+ * Runs the complete control side of all routers of a fleet in virtual time, with their store and the links between
+ * them.
+ */
 final class VirtualFleet {
     private static final int PEER_PORT = 7_640;
-    private static final int SEEDS = 3;
+    private static final int SEED_COUNT = 3;
     static final int START_SPREAD_MILLIS = 250;
     private static final double STORE_MEGABITS = 4_000;
 
@@ -28,22 +31,22 @@
     private final VirtualStore store = new VirtualStore(scheduler, network);
     private final Map<String, VirtualRouter> routers = new LinkedHashMap<>();
     private final Random random = new Random(20_261_203);
-    private final List<FleetRouter> places = new ArrayList<>();
+    private final List<FleetRouter> routerSpecs = new ArrayList<>();
 
     /**
      * Creates a fleet that has not been started.
      *
-     * @param count how many routers
-     * @param dataCentres in how many data centres
-     * @param endpoints how many endpoints are listed
-     * @param megabits each router's link
+     * @param count the number of routers
+     * @param dataCentres the number of data centres
+     * @param endpoints the number of listed endpoints
+     * @param megabits the bandwidth of each router's link, in Mbit/s
      */
     VirtualFleet(int count, int dataCentres, int endpoints, double megabits) {
         network.add(VirtualStore.MACHINE, STORE_MEGABITS);
         for (int number = 0; number < count; number++) {
-            int place = number % dataCentres;
-            Address address = new Address("10." + place + ".0." + (1 + number / dataCentres), PEER_PORT);
-            places.add(new FleetRouter(address, new DataCentre("dc-" + place), 1));
+            int dataCentre = number % dataCentres;
+            Address address = new Address("10." + dataCentre + ".0." + (1 + number / dataCentres), PEER_PORT);
+            routerSpecs.add(new FleetRouter(address, new DataCentre("dc-" + dataCentre), 1));
             network.add(address.toString(), megabits);
         }
         List<ServiceEndpoint> listed = new ArrayList<>();
@@ -62,22 +65,22 @@
     /** Starts all routers within a quarter of a second. */
     void startAll() {
         List<Address> seeds = seeds();
-        for (FleetRouter place : places) {
-            scheduler.schedule(() -> start(place, seeds), random.nextInt(START_SPREAD_MILLIS), TimeUnit.MILLISECONDS);
+        for (FleetRouter spec : routerSpecs) {
+            scheduler.schedule(() -> start(spec, seeds), random.nextInt(START_SPREAD_MILLIS), TimeUnit.MILLISECONDS);
         }
     }
 
     private List<Address> seeds() {
-        return places.stream().limit(SEEDS).map(FleetRouter::address).toList();
+        return routerSpecs.stream().limit(SEED_COUNT).map(FleetRouter::address).toList();
     }
 
-    private void start(FleetRouter place, List<Address> seeds) {
-        VirtualRouter router = new VirtualRouter(this, place);
-        routers.put(place.id(), router);
+    private void start(FleetRouter spec, List<Address> seeds) {
+        VirtualRouter router = new VirtualRouter(this, spec);
+        routers.put(spec.id(), router);
         router.start(seeds);
     }
 
-    /** Ends a process without a word. */
+    /** Ends the process of a router abruptly. */
     void kill(String id) {
         VirtualRouter router = routers.remove(id);
         if (router != null) {
@@ -85,20 +88,20 @@
         }
     }
 
-    /** Ends a router's process and starts another one at its place, by the number in the order of places. */
+    /** Ends the process of a router, by its number, and starts a new one with the same address. */
     void restart(int number) {
-        FleetRouter place = places.get(number);
-        kill(place.id());
-        start(place, seeds());
+        FleetRouter spec = routerSpecs.get(number);
+        kill(spec.id());
+        start(spec, seeds());
     }
 
     /** Ends all processes at the same moment, and starts them again. */
     void restartAll() {
-        places.forEach(place -> kill(place.id()));
-        places.forEach(place -> start(place, seeds()));
+        routerSpecs.forEach(spec -> kill(spec.id()));
+        routerSpecs.forEach(spec -> start(spec, seeds()));
     }
 
-    /** Lets time pass. */
+    /** Advances the virtual time. */
     void pass(Duration time) {
         scheduler.pass(time);
     }
@@ -130,7 +133,7 @@
     }
 
     /**
-     * Returns a configuration: one route a line, with names that do not repeat. A version differs from the one before it in its
+     * Returns a configuration with one route per line and unique names. A version differs from the preceding one in its
      * number and in one route.
      */
     static byte[] document(long version, int bytes) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualNetwork.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualNetwork.java
@@ -11,20 +11,20 @@
 import org.radishpass.routing.testing.VirtualScheduler;
 
 /**
- * Links of limited bandwidth in virtual time. What a machine sends at the same moment over several connections shares its link evenly;
- * what goes over one connection keeps its order.
+ * Simulates links of limited bandwidth in virtual time. Connections that send at the same time share their machine's
+ * link evenly, and each connection delivers its messages in order.
  */
 final class VirtualNetwork {
-    /** Bytes that a connection sends before the next one has its turn: about ten packets. */
+    /** Bytes that a connection sends before it is the turn of the next one: about ten packets. */
     private static final int SEGMENT_BYTES = 16_384;
 
-    /** Bytes of a connection that may be on their way at a time: the receiver's window. */
+    /** Maximum bytes of a connection that are in flight at a time: the receive window. */
     private static final int WINDOW_BYTES = 131_072;
 
-    /** One way between two machines, in microseconds. */
-    private static final long LATENCY_MICROS = 500;
+    /** Latency between two machines in one direction, in microseconds. */
+    private static final long ONE_WAY_LATENCY_MICROS = 500;
 
-    private static final double BITS = 8;
+    private static final double BITS_PER_BYTE = 8;
 
     private final VirtualScheduler scheduler;
     private final Map<String, Pipe> outgoing = new HashMap<>();
@@ -35,25 +35,25 @@
         this.scheduler = scheduler;
     }
 
-    /** Connects a machine. */
+    /** Adds a machine with a link of the given bandwidth, in Mbit/s. */
     void add(String machine, double megabits) {
         outgoing.put(machine, new Pipe(megabits));
         incoming.put(machine, new Pipe(megabits));
         sentBytes.put(machine, 0L);
     }
 
-    /** Returns the bytes that a machine has sent. */
+    /** Returns the number of bytes that a machine has sent. */
     long sentBytes(String machine) {
         return sentBytes.getOrDefault(machine, 0L);
     }
 
-    /** Cuts a machine off, or mends its link: what is under way meanwhile comes late. */
+    /** Cuts a machine off, or reconnects it. Data in flight is delivered after the reconnection. */
     void cut(String machine, boolean cut) {
         pipe(outgoing, machine).cut(cut);
         pipe(incoming, machine).cut(cut);
     }
 
-    /** Tells whether a connection between two machines can be opened now. */
+    /** Tells whether one machine can open a connection to another one now. */
     boolean reaches(String from, String to) {
         return outgoing.containsKey(to) && !pipe(outgoing, from).cut && !pipe(incoming, to).cut;
     }
@@ -72,7 +72,7 @@
         private final String from;
         private final String to;
         private final Deque<Message> messages = new ArrayDeque<>();
-        private int onTheWay;
+        private int inFlightBytes;
         private boolean queued;
         private boolean closed;
 
@@ -84,24 +84,24 @@
         /**
          * Sends a message.
          *
-         * @param bytes its size
-         * @param progress hears of the bytes that have come, part by part
-         * @param whole called when all of it has come
+         * @param bytes the size of the message
+         * @param progress receives the number of bytes of each part that arrives
+         * @param onComplete called when the whole message has arrived
          */
-        void send(int bytes, LongConsumer progress, Runnable whole) {
+        void send(int bytes, LongConsumer progress, Runnable onComplete) {
             sentBytes.merge(from, (long) bytes, Long::sum);
-            messages.add(new Message(bytes, progress, whole));
-            pipe(outgoing, from).wants(this);
+            messages.add(new Message(bytes, progress, onComplete));
+            pipe(outgoing, from).enqueue(this);
         }
 
-        /** Ends it: what has not left yet is lost. */
+        /** Closes the connection. Data that has not been sent yet is lost. */
         void close() {
             closed = true;
             messages.clear();
         }
 
-        private boolean idle() {
-            return messages.isEmpty() || onTheWay >= WINDOW_BYTES;
+        private boolean cannotSend() {
+            return messages.isEmpty() || inFlightBytes >= WINDOW_BYTES;
         }
 
         private int takeSegment() {
@@ -114,13 +114,13 @@
                 return;
             }
             message.unsent -= bytes;
-            onTheWay += bytes;
+            inFlightBytes += bytes;
             if (message.unsent == 0) {
                 messages.remove();
             }
             scheduler.schedule(
                     () -> pipe(incoming, to).receive(bytes, () -> arrived(message, bytes)),
-                    LATENCY_MICROS,
+                    ONE_WAY_LATENCY_MICROS,
                     TimeUnit.MICROSECONDS);
         }
 
@@ -128,69 +128,69 @@
             if (closed) {
                 return;
             }
-            onTheWay -= bytes;
-            if (!idle()) {
-                pipe(outgoing, from).wants(this);
+            inFlightBytes -= bytes;
+            if (!cannotSend()) {
+                pipe(outgoing, from).enqueue(this);
             }
             message.unreceived -= bytes;
             message.progress.accept(bytes);
             if (message.unreceived == 0) {
-                message.whole.run();
+                message.onComplete.run();
             }
         }
     }
 
-    /** A message under way. */
+    /** A message in transit. */
     private static final class Message {
         private final LongConsumer progress;
-        private final Runnable whole;
+        private final Runnable onComplete;
         private int unsent;
         private int unreceived;
 
-        private Message(int bytes, LongConsumer progress, Runnable whole) {
+        private Message(int bytes, LongConsumer progress, Runnable onComplete) {
             this.unsent = bytes;
             this.unreceived = bytes;
             this.progress = progress;
-            this.whole = whole;
+            this.onComplete = onComplete;
         }
     }
 
     /** One direction of a machine's link. */
     private final class Pipe {
         private final double bytesPerNano;
-        private final Deque<Connection> turns = new ArrayDeque<>();
-        private final Deque<Runnable> held = new ArrayDeque<>();
+        private final Deque<Connection> sendQueue = new ArrayDeque<>();
+        private final Deque<Runnable> delayedArrivals = new ArrayDeque<>();
         private long freeAtNanos;
         private boolean busy;
         private boolean cut;
 
         private Pipe(double megabits) {
-            this.bytesPerNano = megabits * 1e6 / BITS / TimeUnit.SECONDS.toNanos(1);
+            this.bytesPerNano = megabits * 1e6 / BITS_PER_BYTE / TimeUnit.SECONDS.toNanos(1);
         }
 
-        private void cut(boolean now) {
-            cut = now;
-            if (!now) {
-                while (!held.isEmpty()) {
-                    held.remove().run();
+        private void cut(boolean cutOff) {
+            cut = cutOff;
+            if (!cutOff) {
+                while (!delayedArrivals.isEmpty()) {
+                    delayedArrivals.remove().run();
                 }
-                next();
+                sendNext();
             }
         }
 
-        private void wants(Connection connection) {
-            if (!connection.queued && !connection.idle()) {
+        private void enqueue(Connection connection) {
+            if (!connection.queued && !connection.cannotSend()) {
                 connection.queued = true;
-                turns.add(connection);
+                sendQueue.add(connection);
             }
-            next();
+            sendNext();
         }
 
-        private void next() {
-            if (busy || cut || turns.isEmpty()) {
+        private void sendNext() {
+            if (busy || cut || sendQueue.isEmpty()) {
                 return;
             }
-            Connection connection = turns.remove();
+            Connection connection = sendQueue.remove();
             int bytes = connection.takeSegment();
             busy = true;
             scheduler.schedule(
@@ -198,25 +198,25 @@
                         busy = false;
                         connection.queued = false;
                         connection.segmentSent(bytes);
-                        if (!connection.idle()) {
-                            wants(connection);
+                        if (!connection.cannotSend()) {
+                            enqueue(connection);
                         }
-                        next();
+                        sendNext();
                     },
                     nanos(bytes),
                     TimeUnit.NANOSECONDS);
         }
 
-        private void receive(int bytes, Runnable taken) {
+        private void receive(int bytes, Runnable arrival) {
             freeAtNanos = Math.max(freeAtNanos, scheduler.nanos()) + nanos(bytes);
-            scheduler.schedule(() -> take(taken), freeAtNanos - scheduler.nanos(), TimeUnit.NANOSECONDS);
+            scheduler.schedule(() -> deliver(arrival), freeAtNanos - scheduler.nanos(), TimeUnit.NANOSECONDS);
         }
 
-        private void take(Runnable taken) {
+        private void deliver(Runnable arrival) {
             if (cut) {
-                held.add(taken);
+                delayedArrivals.add(arrival);
             } else {
-                taken.run();
+                arrival.run();
             }
         }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
@@ -34,11 +34,11 @@
 import org.radishpass.runtime.thread.ControlThread;
 import reactor.core.publisher.Mono;
 
-/** One router's whole control side in virtual time. */
+/** Runs the complete control side of one router in virtual time. */
 final class VirtualRouter {
-    private static final Duration JOINS_AFTER = Duration.ofMillis(400);
+    private static final Duration JOIN_DELAY = Duration.ofMillis(400);
     private static final int FRAME_BYTES = 4;
-    private static final long DIAL_PATIENCE_MILLIS = 500;
+    private static final long DIAL_TIMEOUT_MILLIS = 500;
 
     private final VirtualFleet fleet;
     private final FleetRouter self;
@@ -49,8 +49,8 @@
     private final Links links = new Links();
     private final Map<Long, Long> inForceAtMillis = new HashMap<>();
     private boolean joined;
-    private int dialled;
-    private int dropped;
+    private int dialledLinks;
+    private int droppedLinks;
 
     VirtualRouter(VirtualFleet fleet, FleetRouter self) {
         this.fleet = fleet;
@@ -68,15 +68,15 @@
                 suspects,
                 RegionMap.EMPTY,
                 new SimpleMeterRegistry(),
-                this::noteVersion);
+                this::recordVersion);
     }
 
-    /** Returns what its traffic side believes of requests that may end their endpoints. */
+    /** Returns the requests that its traffic side suspects of crashing their endpoints. */
     VirtualSuspects suspects() {
         return suspects;
     }
 
-    /** A document begins with its version on a line of its own. */
+    /** Decodes a document, whose first line is its version. */
     private static RoutingConfiguration decode(byte[] content) {
         String text = new String(content, StandardCharsets.UTF_8);
         return RoutingConfiguration.builder(Long.parseLong(text.substring(0, text.indexOf('\n'))))
@@ -85,23 +85,23 @@
 
     void start(List<Address> seeds) {
         control.start();
-        thread.after(JOINS_AFTER, () -> {
+        thread.after(JOIN_DELAY, () -> {
             joined = true;
             control.join(links, seeds);
         });
     }
 
-    /** Returns the data centres to which it sends nothing new. */
+    /** Returns the drained data centres, to whose endpoints it sends no new requests. */
     Set<DataCentre> drained() {
         return control.view().eligibility().drained();
     }
 
-    /** An endpoint states to it, in an answer, that it is leaving. */
+    /** Simulates an answer in which an endpoint states that it is leaving. */
     void answeredLeaving(String endpointId) {
-        control.leaving(endpointId);
+        control.endpointLeaving(endpointId);
     }
 
-    /** Tells whether requests may be placed at an endpoint. */
+    /** Tells whether it may send requests to an endpoint. */
     boolean sendsTo(String endpointId) {
         return control.view()
                 .directory()
@@ -110,37 +110,37 @@
                 .orElse(false);
     }
 
-    /** Returns the routers that it knows by name. */
+    /** Returns the routers whose names it knows. */
     FleetMembers members() {
         return control.view().members();
     }
 
-    /** Ends the process without a word. */
+    /** Ends its process abruptly. */
     void kill() {
         process.dispose();
         links.closeAll();
     }
 
-    /** Lets the process stand still, or go on. */
-    void frozen(boolean now) {
-        process.frozen(now);
+    /** Freezes its process, or lets the process continue. */
+    void frozen(boolean frozen) {
+        process.frozen(frozen);
     }
 
     FleetRouter self() {
         return self;
     }
 
-    /** Returns the version in force; -1 before the first. */
+    /** Returns the version in force, or -1 before the first. */
     long version() {
         return control.view().configuration().map(RoutingConfiguration::version).orElse(-1L);
     }
 
-    /** Tells whether requests can be routed. */
+    /** Tells whether it can route requests. */
     boolean serves() {
         return control.view().complete();
     }
 
-    /** Returns when a version, or a later one, came into force here. */
+    /** Returns when a version or a later one came into force, or {@link Long#MAX_VALUE} if none has. */
     long inForceAtMillis(long version) {
         return inForceAtMillis.entrySet().stream()
                 .filter(entry -> entry.getKey() >= version)
@@ -149,22 +149,22 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Returns how many connections it has opened. */
-    int dialled() {
-        return dialled;
+    /** Returns the number of connections that it has opened. */
+    int dialledLinks() {
+        return dialledLinks;
     }
 
-    /** Returns how many links it has dropped as silent. */
-    int dropped() {
-        return dropped;
+    /** Returns the number of links that it has dropped because the peer did not answer. */
+    int droppedLinks() {
+        return droppedLinks;
     }
 
-    /** Returns how many links to peers it holds open. */
+    /** Returns the number of its open links to peers. */
     int openLinks() {
         return links.open.size();
     }
 
-    private void noteVersion() {
+    private void recordVersion() {
         inForceAtMillis.putIfAbsent(version(), fleet.scheduler().millis());
     }
 
@@ -176,7 +176,7 @@
         });
     }
 
-    /** The links that it has dialled. */
+    /** The links that this router has dialled. */
     private final class Links implements PeerLinks {
         private final Map<String, Link> open = new LinkedHashMap<>();
 
@@ -198,7 +198,7 @@
         public void drop(String peerId) {
             Link link = open.remove(peerId);
             if (link != null) {
-                dropped++;
+                droppedLinks++;
                 link.close();
             }
         }
@@ -222,11 +222,11 @@
             if (other == null || !other.joined || !fleet.network().reaches(self.id(), peer.id())) {
                 open.remove(peer.id());
                 thread.after(
-                        Duration.ofMillis(DIAL_PATIENCE_MILLIS),
+                        Duration.ofMillis(DIAL_TIMEOUT_MILLIS),
                         () -> control.handler().unreachable(peer.id()));
                 return null;
             }
-            dialled++;
+            dialledLinks++;
             Link link = new Link(other);
             open.put(peer.id(), link);
             link.write(new Envelope(0, control.introduction()), bytes -> {}, () -> {});
@@ -234,21 +234,21 @@
         }
     }
 
-    /** A connection that it has dialled. */
+    /** A connection that this router has dialled. */
     private final class Link {
         private final VirtualRouter other;
-        private final VirtualNetwork.Connection there;
-        private final VirtualNetwork.Connection back;
+        private final VirtualNetwork.Connection outbound;
+        private final VirtualNetwork.Connection inbound;
         private boolean closed;
 
         private Link(VirtualRouter other) {
             this.other = other;
-            this.there = fleet.network().connect(self.id(), other.self.id());
-            this.back = fleet.network().connect(other.self.id(), self.id());
+            this.outbound = fleet.network().connect(self.id(), other.self.id());
+            this.inbound = fleet.network().connect(other.self.id(), self.id());
         }
 
         private void write(Envelope envelope, LongConsumer progress, Runnable arrived) {
-            there.send(bytes(envelope), progress, () -> {
+            outbound.send(bytes(envelope), progress, () -> {
                 arrived.run();
                 other.thread.run(() -> other.control
                         .handler()
@@ -259,13 +259,13 @@
 
         private Mono<PeerMessage> fetch(PeerMessage message) {
             VirtualTransfer<PeerMessage> transfer = new VirtualTransfer<>(fleet.scheduler());
-            there.send(
+            outbound.send(
                     bytes(new Envelope(1, message)),
                     bytes -> {},
                     () -> other.thread.run(() -> other.control
                             .handler()
                             .handle(self.id(), message)
-                            .subscribe(answer -> back.send(
+                            .subscribe(answer -> inbound.send(
                                     bytes(new Envelope(-1, answer)),
                                     transfer::received,
                                     () -> transfer.whole(answer)))));
@@ -274,8 +274,8 @@
 
         private void close() {
             closed = true;
-            there.close();
-            back.close();
+            outbound.close();
+            inbound.close();
             other.disconnectedFrom(self.id());
         }
 
@@ -288,7 +288,7 @@
         }
     }
 
-    /** Work in flight as the traffic side tells of it; this router has one request at one endpoint. */
+    /** Reports one request in flight at one endpoint, as the traffic side would. */
     private final class Work implements WorkSource {
         private final InFlightBook book = new InFlightBook();
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualSuspects.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualSuspects.java
@@ -12,7 +12,10 @@
 import org.radishpass.routing.quarantine.SuspectReport;
 import org.radishpass.routing.quarantine.SuspectSource;
 
-/** The traffic side of a router in virtual time, as far as requests that may end their endpoints go. */
+/**
+ * Simulates the part of a router's traffic side that deals with requests that are suspected of crashing their
+ * endpoints.
+ */
 final class VirtualSuspects implements SuspectSource, Quarantine.Listener {
     private static final String SERVICE = "orders";
 
@@ -23,12 +26,12 @@
         this.clock = clock;
     }
 
-    /** An endpoint ends 100 ms after a request was sent there by this router. */
+    /** Simulates an endpoint that ends 100 ms after this router sent it a request. */
     void endedUnder(RequestFingerprint request, long endpointHash) {
         quarantine.ended(SERVICE, endpointHash, List.of(new AtWork(request, 100)), clock.getAsLong());
     }
 
-    /** A request is answered by this router. */
+    /** Simulates an answer to a request at this router. */
     void answered(RequestFingerprint request) {
         quarantine.answered(request, SERVICE, clock.getAsLong());
     }
@@ -38,10 +41,10 @@
     }
 
     @Override
-    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> news) {
-        SuspectReport unknown = quarantine.told(report, origin, clock.getAsLong());
-        if (!unknown.isEmpty()) {
-            news.accept(unknown);
+    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
+        SuspectReport added = quarantine.told(report, origin, clock.getAsLong());
+        if (!added.isEmpty()) {
+            newSuspects.accept(added);
         }
     }
 
@@ -62,16 +65,16 @@
 
     @Override
     public void quarantined(RequestFingerprint request, int ends, String origin) {
-        // a test asks for the standing
+        // nothing to do: tests query the standing
     }
 
     @Override
     public void tried(RequestFingerprint request, int ends) {
-        // of no interest here
+        // nothing to do: tests query the standing
     }
 
     @Override
     public void cleared(RequestFingerprint request, int ends) {
-        // of no interest here
+        // nothing to do: tests query the standing
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
@@ -7,12 +7,12 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A transfer in virtual time that is given up as the product gives transfers up. */
+/** Simulates a transfer in virtual time that times out by the same rules as a real transfer. */
 final class VirtualTransfer<T> {
     private final VirtualScheduler scheduler;
     private final TransferProgress progress;
     private final Sinks.One<T> result = Sinks.one();
-    private boolean over;
+    private boolean finished;
 
     VirtualTransfer(VirtualScheduler scheduler) {
         this.scheduler = scheduler;
@@ -20,31 +20,31 @@
         watch();
     }
 
-    /** Returns what comes of it. */
+    /** Returns the result of the transfer. */
     Mono<T> result() {
         return result.asMono();
     }
 
-    /** Some bytes have come. */
+    /** Records that some bytes have arrived. */
     void received(long bytes) {
         progress.received(bytes, scheduler.millis());
     }
 
-    /** All of it has come. */
+    /** Completes the transfer. */
     void whole(T value) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             result.tryEmitValue(value);
         }
     }
 
     private void watch() {
         long leftMillis = progress.deadlineMillis() - scheduler.millis();
-        if (over) {
+        if (finished) {
             return;
         }
         if (leftMillis < 0) {
-            over = true;
+            finished = true;
             result.tryEmitError(new IOException("given up after " + progress.bytes() + " bytes"));
             return;
         }
