--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -108,14 +108,14 @@
         private final FleetRouter router;
         private final DirectoryTracker tracker = new DirectoryTracker();
         private final StoreClock storeClock = new StoreClock();
-        private final PeerBook peers;
+        private final PeerTable peers;
         private final StoreEra storeEra = new StoreEra();
-        private final ReaderChoice readers;
+        private final ReaderElection readers;
 
         private Router(Address address) {
             this.router = FleetRouter.unlocated(address);
-            this.peers = new PeerBook(router);
-            this.readers = new ReaderChoice(() -> nowMillis, router, peers, tracker, storeClock);
+            this.peers = new PeerTable(router);
+            this.readers = new ReaderElection(() -> nowMillis, router, peers, tracker, storeClock);
         }
 
         /** Reads the store successfully. */
@@ -166,7 +166,7 @@
         void receive(Message message) {
             peers.learn(List.of(message.sender().router), nowMillis);
             Peer peer = peers.find(message.sender().router.id()).orElseThrow();
-            peer.told(message.state(), PeerStates.reading(message.state(), storeEra), nowMillis);
+            peer.recordState(message.state(), RoutingMessageMapper.toListReading(message.state(), storeEra), nowMillis);
             message.state().leaving().forEach(tracker::statedLeaving);
             ListReading peerReading = peer.listReading();
             if (message.state().directoryHash() == tracker.hash()) {
