--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
@@ -148,10 +148,7 @@
                 .subscribe(
                         answer -> received(peer, base, answer),
                         error -> LOG.info(
-                                "fetching from router {} the document {} failed: {}",
-                                peer.id(),
-                                name,
-                                error.toString()));
+                                "router {} did not send the document {}: {}", peer.id(), name, error.toString()));
     }
 
     private void received(Peer peer, SharedDocument base, PeerMessage answer) {
@@ -178,7 +175,7 @@
         long readAtMillis = storeClock.earliest(list.reading().storeMillis(), clock.millis());
         if (directory.peerListed(list, readAtMillis, peer.id())) {
             LOG.info(
-                    "endpoint list replaced by that of router {}, read from the store at {}",
+                    "the endpoint list is replaced by that of router {}, as read from the store at {}",
                     peer.id(),
                     list.reading().position(),
                     LogEvent.ENDPOINTS.field());
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
@@ -11,10 +11,13 @@
 final class Peer {
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Milliseconds without a reply after which a peer is suspected to be down: the time of seven messages. */
+    /** Milliseconds without a reply after which a peer is suspected to be down: seven message intervals. */
     static final long REPLY_TIMEOUT_MILLIS = 1_500;
 
-    /** Milliseconds for which a peer's last message counts as its current role: the time of seven messages, too. */
+    /**
+     * Milliseconds after its last message for which a peer counts as active, and as a gatherer or member: the same
+     * seven intervals.
+     */
     static final long ACTIVE_MILLIS = REPLY_TIMEOUT_MILLIS;
 
     /** Pause in milliseconds until the first probe of a suspected peer. It doubles with each probe. */
@@ -57,7 +60,8 @@
     }
 
     /**
-     * Records that a third party mentioned this peer. An entry without a data centre does not replace a located one.
+     * Records that another router mentioned this peer. An entry without a data centre does not replace one that has a
+     * data centre.
      */
     void recordMention(FleetRouter entry, long nowMillis) {
         lastMentionedAtMillis = nowMillis;
@@ -92,7 +96,7 @@
         return wasSuspected;
     }
 
-    /** Records that a message was sent to which a live peer replies. */
+    /** Records that this peer was sent a message that a live peer answers. */
     void expectReply(long nowMillis) {
         if (replyExpectedSinceMillis == NEVER) {
             replyExpectedSinceMillis = nowMillis;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
@@ -22,8 +22,8 @@
 /**
  * Saves quarantined requests in the store, so that they stay quarantined when all routers restart at once, as after a
  * loss of power. Otherwise each request would end two more endpoints before it is detected again. The router that sees
- * the endpoint's end which leads to the quarantine writes one row. Each router reads the rows once, when it starts.
- * State is confined to the control thread.
+ * the end of an endpoint that decides on the quarantine writes one row. Each router reads the rows once, when it
+ * starts. State is confined to the control thread.
  */
 final class QuarantinePersistence {
     private static final Logger LOG = LoggerFactory.getLogger(QuarantinePersistence.class);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StaggeredDelay.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StaggeredDelay.java
@@ -10,8 +10,8 @@
  */
 final class StaggeredDelay {
     /**
-     * Routers that act per second: a third of the write rate of one partition of the store's tables, for a large fleet
-     * altogether.
+     * Number of routers that act per second on average: a third of the writes per second that one partition of the
+     * store's tables can take.
      */
     static final int ROUTERS_PER_SECOND = 75;
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
@@ -28,7 +28,7 @@
 
     /**
      * Delay between serving callers and joining the peers. The first requests after a start run code for the first
-     * time, and greeting six peers meanwhile delayed them by 0.2 s on 0.75 cores.
+     * time, and exchanging introductions with six peers meanwhile delayed these requests by 0.2 s on 0.75 cores.
      */
     private static final Duration JOIN_DELAY_AFTER_SERVING = Duration.ofMillis(300);
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
@@ -82,8 +82,8 @@
 
     /**
      * Forwards a report to the routers that depend on this one. Routers need not agree on the gatherer, so a router may
-     * have members without being a gatherer for other gatherers. It forwards reports in either case. Only new
-     * information is forwarded, so forwarding ends.
+     * have members although other gatherers do not treat it as a gatherer. Such a router forwards reports as well. Only
+     * new information is forwarded, so forwarding ends.
      */
     private void forward(SuspectReport report, WorkScope scope, String from) {
         if (scope == WorkScope.MEMBER) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
@@ -16,12 +16,12 @@
 import org.radishpass.routing.testing.TestCaller;
 
 /**
- * Checks that a request that crashes its endpoints ends only a few of them, whichever routers it is sent to.
+ * Checks that a request that crashes its endpoints ends only a few of them, whichever routers receive the request.
  *
- * <p>Guards against one request that ended thirteen endpoints of a service within twelve seconds: it was sent again
- * about every second, through any router. Each arrival counted as a new request for the bound on attempts and for the
- * retry budget, and routers forgot the end of an endpoint together with the endpoint. So a router that had seen the
- * request end a third endpoint sent it to a fifth.
+ * <p>Guards against one request that ended thirteen endpoints of a service within twelve seconds. The caller sent the
+ * request again about every second, through any router. Each arrival counted as a new request for the bound on attempts
+ * and for the retry budget, and routers forgot the end of an endpoint together with the endpoint. So a router that had
+ * seen the request end a third endpoint sent the request to a fifth.
  */
 final class CrashingRequestTest {
     private static final String CRASHING_BODY = "poison";
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/IdleFleetTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/IdleFleetTest.java
@@ -10,9 +10,9 @@
  * Checks that routers of an idle fleet neither drop nor reopen links.
  *
  * <p>Guards against two members of a group that suspect each other every 1.65 s in an idle fleet of 18 routers. One of
- * them had reported its work to the other before it knew the gatherer. The other one then treated it as a member,
- * reported all work to it, and waited in vain for a reply. Each probed the other by reporting its own work, and so
- * became a member again.
+ * them had reported its work to the other before it knew the gatherer. The other one then treated the first as a
+ * member, reported all work to it, and waited in vain for a reply. As probes they reported their own work to each
+ * other, and so became members again.
  */
 final class IdleFleetTest {
     private static final Duration WARM_UP = Duration.ofSeconds(12);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
@@ -27,8 +27,8 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * Checks routers that share a store over loopback, with and without access to it. Configurations in this test are texts
- * of the form {@code VERSION:PREFIX}, with one route for the prefix.
+ * Checks complete routers over loopback that share a store, and routers that have lost the store. Configurations in
+ * this test are texts of the form {@code VERSION:PREFIX}, with one route for the prefix.
  */
 final class RoutedRouterTest {
     private static final String SERVICE = "service";
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
@@ -71,7 +71,7 @@
                 this::recordVersion);
     }
 
-    /** Returns the requests that its traffic side suspects of crashing their endpoints. */
+    /** Returns the suspected requests of the traffic side of this router. */
     VirtualSuspects suspects() {
         return suspects;
     }
@@ -91,17 +91,17 @@
         });
     }
 
-    /** Returns the drained data centres, to whose endpoints it sends no new requests. */
+    /** Returns the drained data centres, to whose endpoints this router sends no new requests. */
     Set<DataCentre> drained() {
         return control.view().eligibility().drained();
     }
 
-    /** Simulates an answer in which an endpoint states that it is leaving. */
+    /** Simulates an answer to this router in which an endpoint states that it is leaving. */
     void answeredLeaving(String endpointId) {
         control.endpointLeaving(endpointId);
     }
 
-    /** Tells whether it may send requests to an endpoint. */
+    /** Tells whether this router may send requests to an endpoint. */
     boolean sendsTo(String endpointId) {
         return control.view()
                 .directory()
@@ -110,18 +110,18 @@
                 .orElse(false);
     }
 
-    /** Returns the routers whose names it knows. */
+    /** Returns the routers whose names this router knows. */
     FleetMembers members() {
         return control.view().members();
     }
 
-    /** Ends its process abruptly. */
+    /** Ends the process of this router abruptly. */
     void kill() {
         process.dispose();
         links.closeAll();
     }
 
-    /** Freezes its process, or lets the process continue. */
+    /** Freezes the process of this router, or lets the process continue. */
     void frozen(boolean frozen) {
         process.frozen(frozen);
     }
@@ -130,17 +130,17 @@
         return self;
     }
 
-    /** Returns the version in force, or -1 before the first. */
+    /** Returns the version in force at this router, or -1 before the first. */
     long version() {
         return control.view().configuration().map(RoutingConfiguration::version).orElse(-1L);
     }
 
-    /** Tells whether it can route requests. */
+    /** Tells whether this router can route requests. */
     boolean serves() {
         return control.view().complete();
     }
 
-    /** Returns when a version or a later one came into force, or {@link Long#MAX_VALUE} if none has. */
+    /** Returns when a version or a later one came into force at this router, or {@link Long#MAX_VALUE} if none has. */
     long inForceAtMillis(long version) {
         return inForceAtMillis.entrySet().stream()
                 .filter(entry -> entry.getKey() >= version)
@@ -149,17 +149,17 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Returns the number of connections that it has opened. */
+    /** Returns the number of connections that this router has opened. */
     int dialledLinks() {
         return dialledLinks;
     }
 
-    /** Returns the number of links that it has dropped because the peer did not answer. */
+    /** Returns the number of links that this router has dropped because the peer did not answer. */
     int droppedLinks() {
         return droppedLinks;
     }
 
-    /** Returns the number of its open links to peers. */
+    /** Returns the number of open links of this router. */
     int openLinks() {
         return links.open.size();
     }
