--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
@@ -95,7 +95,7 @@
         if (!usedBefore) {
             markIdle(); // a new connection is known to work; a reused one may have been closed meanwhile
         }
-        pool.idle(this);
+        pool.release(this);
     }
 
     /** Closes the connection without notifying the listener of the request on it. */
@@ -134,7 +134,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        pool.closed(this);
+        pool.connectionClosed(this);
         fail("connection closed");
     }
 
@@ -197,7 +197,7 @@
         if (closeAfterResponse) {
             var unused = channel.close();
         } else {
-            pool.idle(this);
+            pool.release(this);
         }
         if (completedListener != null) {
             completedListener.completed();
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
@@ -43,12 +43,12 @@
      * Returns the endpoints of a service that accept new requests, regardless of the restrictions of a particular
      * request.
      */
-    List<ServiceEndpoint> open(String service) {
+    List<ServiceEndpoint> eligible(String service) {
         return select(notLeaving(service), endpoint -> notDrained(endpoint) && signals.admits(endpoint));
     }
 
     /** Returns the endpoints that the request may be sent to now. */
-    List<ServiceEndpoint> open(RequestTerms terms) {
+    List<ServiceEndpoint> eligible(RequestTerms terms) {
         return select(notLeaving(terms.service()), endpoint -> mayRun(terms, endpoint) && signals.admits(endpoint));
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
@@ -93,7 +93,7 @@
     }
 
     /** Returns a connection to the pool, or closes it if the pool is full or retired. */
-    void idle(EndpointConnection connection) {
+    void release(EndpointConnection connection) {
         if (idle.size() >= MAX_IDLE || connections.retired(endpoint.id())) {
             connection.close();
             return;
@@ -102,7 +102,7 @@
     }
 
     /** Removes a connection that was closed. */
-    void closed(EndpointConnection connection) {
+    void connectionClosed(EndpointConnection connection) {
         idle.remove(connection);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
@@ -366,7 +366,7 @@
         history.lastSendNotExecuted();
         record.attemptEnded("not run, status " + status);
         if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
-            context.reportGone(refused.endpoint());
+            context.reportEndpointReplaced(refused.endpoint());
         }
         if (mayRetry()) {
             placeAndAttempt();
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
@@ -17,7 +17,7 @@
     private static final int FIRST_ERROR_STATUS = 400;
 
     private final long receivedAtMillis;
-    private final List<Step> steps = new ArrayList<>(1);
+    private final List<AttemptRecord> attempts = new ArrayList<>(1);
     private String requestId = "";
     private RequestFingerprint fingerprint = RequestFingerprint.UNKNOWN;
     private long configurationVersion;
@@ -76,8 +76,8 @@
         return responseAfterMillis;
     }
 
-    List<Step> steps() {
-        return steps;
+    List<AttemptRecord> attempts() {
+        return attempts;
     }
 
     /** Records the request id and the configuration in force. */
@@ -99,7 +99,7 @@
 
     /** Records the choice of an endpoint. */
     void chosen(PlacementChoice choice, RoutingView view, long nowMillis) {
-        steps.add(new Step(choice, view.origin(), receivedAtMillis, nowMillis));
+        attempts.add(new AttemptRecord(choice, view.origin(), receivedAtMillis, nowMillis));
     }
 
     /**
@@ -109,23 +109,23 @@
      * @param stated what the endpoint had stated against receiving requests; empty if nothing
      */
     void sent(long nowMillis, String stated) {
-        lastStep().sentAfterMillis = nowMillis - receivedAtMillis;
-        lastStep().stated = stated;
+        lastAttempt().sentAfterMillis = nowMillis - receivedAtMillis;
+        lastAttempt().stated = stated;
     }
 
     /** Records the head of a response to the current attempt. */
     void headReceived(long nowMillis, AnswerHead head) {
-        lastStep().headAfterMillis = nowMillis - receivedAtMillis;
-        lastStep().head = head;
+        lastAttempt().headAfterMillis = nowMillis - receivedAtMillis;
+        lastAttempt().head = head;
         if (responseAfterMillis < 0 && head.status() < FIRST_ERROR_STATUS) {
-            responseAfterMillis = lastStep().headAfterMillis;
+            responseAfterMillis = lastAttempt().headAfterMillis;
         }
     }
 
     /** Records how the current attempt ended. */
     void attemptEnded(String reason) {
-        if (!steps.isEmpty()) {
-            lastStep().end = reason;
+        if (!attempts.isEmpty()) {
+            lastAttempt().end = reason;
         }
     }
 
@@ -136,15 +136,15 @@
         this.outcome = newOutcome;
     }
 
-    private Step lastStep() {
-        return steps.get(steps.size() - 1);
+    private AttemptRecord lastAttempt() {
+        return attempts.get(attempts.size() - 1);
     }
 
     /**
      * The choice of an endpoint and the attempt at this endpoint. Times are in milliseconds after the request was
      * received; -1 for an event that did not happen.
      */
-    static final class Step {
+    static final class AttemptRecord {
         private final PlacementChoice choice;
         private final long chosenAfterMillis;
         private final DirectoryOrigin origin;
@@ -155,7 +155,7 @@
         private @Nullable AnswerHead head;
         private @Nullable String end;
 
-        private Step(PlacementChoice choice, DirectoryOrigin origin, long receivedAtMillis, long nowMillis) {
+        private AttemptRecord(PlacementChoice choice, DirectoryOrigin origin, long receivedAtMillis, long nowMillis) {
             this.choice = choice;
             this.origin = origin;
             this.chosenAfterMillis = nowMillis - receivedAtMillis;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
@@ -65,7 +65,7 @@
     void finished(ExchangeRecord record, long nowMillis) {
         boolean answered = record.status() > 0 && record.status() < FIRST_ERROR_STATUS;
         timer(record).record(Duration.ofMillis(nowMillis - record.receivedAtMillis()));
-        if (!admit(answered ? MAX_SUCCESS_LINES_PER_SECOND : MAX_LINES_PER_SECOND, nowMillis)) {
+        if (!admitLine(answered ? MAX_SUCCESS_LINES_PER_SECOND : MAX_LINES_PER_SECOND, nowMillis)) {
             return;
         }
         LOG.info(
@@ -87,7 +87,7 @@
                 kv("service", record.terms().service()),
                 kv("fingerprint", record.fingerprint().toString()),
                 kv("urgency", record.terms().urgency()),
-                kv("attempts", record.steps().stream().map(Object::toString).toList()),
+                kv("attempts", record.attempts().stream().map(Object::toString).toList()),
                 kv("status", record.status()),
                 kv("verdict", record.verdict()),
                 kv("target", record.terms().route().targetLatencyMillis()),
@@ -205,7 +205,7 @@
                 LogEvent.ENDPOINT_SLOW.field());
     }
 
-    private boolean admit(int maxLines, long nowMillis) {
+    private boolean admitLine(int maxLines, long nowMillis) {
         long now = Math.floorDiv(nowMillis, SECOND_MILLIS);
         if (now != currentSecond) {
             currentSecond = now;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
@@ -50,10 +50,10 @@
      */
     boolean othersHaveCapacity(ServiceEndpoint endpoint) {
         long nowMillis = context.nowMillis();
-        List<ServiceEndpoint> open = context.filter().open(endpoint.service());
-        List<ServiceEndpoint> others = new ArrayList<>(context.health().usable(open, nowMillis));
+        List<ServiceEndpoint> eligible = context.filter().eligible(endpoint.service());
+        List<ServiceEndpoint> others = new ArrayList<>(context.health().usable(eligible, nowMillis));
         others.removeIf(other -> other.id().equals(endpoint.id()));
-        return !context.health().doubtful(open, nowMillis) && SpareRoom.at(others, context.inFlight());
+        return !context.health().doubtful(eligible, nowMillis) && SpareRoom.at(others, context.inFlight());
     }
 
     /**
@@ -103,7 +103,7 @@
     }
 
     private List<ServiceEndpoint> usable(EndpointFilter filter, RequestTerms terms, long nowMillis) {
-        return context.health().usable(filter.open(terms), nowMillis);
+        return context.health().usable(filter.eligible(terms), nowMillis);
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficContext.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficContext.java
@@ -238,7 +238,7 @@
     }
 
     /** Notifies the control plane that another process has taken over the address of an endpoint. */
-    void reportGone(ServiceEndpoint endpoint) {
+    void reportEndpointReplaced(ServiceEndpoint endpoint) {
         listener.gone(endpoint);
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
@@ -72,7 +72,7 @@
         EndpointFilter filter = new EndpointFilter(view, signals);
         RequestTerms terms = terms(byRoute, byWorkspace);
 
-        List<ServiceEndpoint> open = filter.open(terms);
+        List<ServiceEndpoint> eligible = filter.eligible(terms);
         List<ServiceEndpoint> sources = filter.cacheSources(terms);
         for (ServiceEndpoint endpoint : endpoints) {
             Optional<Region> region = Optional.ofNullable(regionOf.get(endpoint.dataCentre()));
@@ -80,7 +80,7 @@
             boolean leaving = endpoint.leaving() || statedLeaving.contains(endpoint);
             boolean mayRun = allowed && !leaving && !drained.contains(endpoint.dataCentre());
             assertThat(filter.notLeaving("s").contains(endpoint)).isEqualTo(!leaving);
-            assertThat(open.contains(endpoint)).isEqualTo(mayRun);
+            assertThat(eligible.contains(endpoint)).isEqualTo(mayRun);
             assertThat(filter.stillEligible(terms, endpoint)).isEqualTo(mayRun);
             assertThat(sources.contains(endpoint)).isEqualTo(allowed);
         }
