--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Standing.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Standing.java
@@ -9,7 +9,8 @@
     /** No endpoint is known to have crashed while the request was in progress there. */
     CLEAR(true, true),
     /**
-     * Endpoints crashed while the request was in progress, which is no proof. The request is sent to one endpoint only.
+     * Endpoints crashed while the request was in progress, which is no proof. Each arrival of the request is sent to at
+     * most one endpoint.
      */
     SUSPECTED(true, false),
     /** The quarantine is over. The request is sent once, to find out whether it still crashes its endpoint. */
@@ -30,7 +31,7 @@
         return admitted;
     }
 
-    /** Tells whether the request may be retried at another endpoint after its response broke off. */
+    /** Tells whether one arrival of the request may be sent to another endpoint after its response broke off. */
     public boolean mayBeRepeated() {
         return mayBeRepeated;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
@@ -28,7 +28,7 @@
     Suspect aged(long millis) {
         return new Suspect(
                 request,
-                ends.stream().map(end -> end.aged(millis)).toList(),
+                ends.stream().map(crash -> crash.aged(millis)).toList(),
                 tried() ? triedMillisAgo + millis : NEVER_TRIED);
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/health/HealthBookTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/health/HealthBookTest.java
@@ -68,7 +68,7 @@
     @Test
     void anEndpointEjectedForSlownessIsEjectedAgainAfterOneSlowResponse() {
         EndpointHealth health = book.of("e0", 0);
-        for (int answer = 0; answer < 3; answer++) {
+        for (int response = 0; response < 3; response++) {
             health.answeredSlowly(0);
         }
         assertThat(book.usable(open, 2_500)).hasSize(5);
