--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlSource.java
@@ -94,7 +94,7 @@
     Mono<Boolean> quarantine(Suspect suspect, long storeMillis);
 
     /**
-     * Removes a request from quarantine, because it has proved harmless or its quarantine has expired.
+     * Removes a request from quarantine, because it has proved harmless or is no longer tracked.
      *
      * @param request the request
      * @return whether the request was removed
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
@@ -279,7 +279,7 @@
         retainedIds.retainAll(endpointsById.keySet());
         leavingIncarnations.retainUnconfirmed(endpointsById.keySet());
         endpointsById.keySet().forEach(goneIncarnations::noteListed);
-        before.keySet().stream().filter(id -> !endpointsById.containsKey(id)).forEach(goneIncarnations::gone);
+        before.keySet().stream().filter(id -> !endpointsById.containsKey(id)).forEach(goneIncarnations::noteGone);
         updateDerivedState();
         return !before.equals(endpointsById);
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
@@ -57,12 +57,12 @@
      * the snapshot from which the store was restored.
      */
     private boolean endUnlistedDrains(DrainReading reading, long nowMillis) {
-        Set<DataCentre> named =
+        Set<DataCentre> listedDataCentres =
                 reading.entries().stream().map(DataCentreDrain::dataCentre).collect(Collectors.toSet());
         boolean changed = false;
         for (Change change : List.copyOf(changes.values())) {
             DataCentre dataCentre = change.drain.dataCentre();
-            if (!change.drain.drained() || named.contains(dataCentre)) {
+            if (!change.drain.drained() || listedDataCentres.contains(dataCentre)) {
                 continue;
             }
             if (reading.position().inLaterEraThan(change.drain.position())) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/GoneIncarnations.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/GoneIncarnations.java
@@ -19,7 +19,7 @@
     private long suppressedUntilMillis = StoreClock.NEVER;
 
     /** Records that an incarnation is no longer listed. */
-    void gone(String id) {
+    void noteGone(String id) {
         goneIds.put(id, true);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/LeavingIncarnations.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/LeavingIncarnations.java
@@ -20,7 +20,7 @@
     static final int MAX_IDS_PER_MESSAGE = 64;
 
     private final Map<String, Boolean> leavingIds = new BoundedMap<>();
-    private final Set<String> unconfirmed = new LinkedHashSet<>();
+    private final Set<String> unconfirmedIds = new LinkedHashSet<>();
 
     /** Tells whether an incarnation is leaving. */
     boolean contains(String id) {
@@ -42,13 +42,13 @@
         if (leavingIds.put(id, true) != null) {
             return false;
         }
-        unconfirmed.add(id);
+        unconfirmedIds.add(id);
         return true;
     }
 
     /** Records that the store itself lists an incarnation as leaving. */
     void confirmedByStore(String id) {
-        unconfirmed.remove(id);
+        unconfirmedIds.remove(id);
     }
 
     /**
@@ -63,12 +63,12 @@
                 .filter(endpoint -> !endpoint.leaving())
                 .map(ServiceEndpoint::id)
                 .filter(leavingIds::containsKey)
-                .forEach(unconfirmed::add);
+                .forEach(unconfirmedIds::add);
     }
 
     /** Stops announcing incarnations that are no longer listed. */
     void retainUnconfirmed(Collection<String> listed) {
-        unconfirmed.retainAll(listed);
+        unconfirmedIds.retainAll(listed);
     }
 
     /**
@@ -77,11 +77,11 @@
      */
     List<String> nextToAnnounce() {
         List<String> firstIds =
-                new ArrayList<>(unconfirmed).subList(0, Math.min(MAX_IDS_PER_MESSAGE, unconfirmed.size()));
+                new ArrayList<>(unconfirmedIds).subList(0, Math.min(MAX_IDS_PER_MESSAGE, unconfirmedIds.size()));
         List<String> ids = List.copyOf(firstIds);
-        if (ids.size() < unconfirmed.size()) {
-            unconfirmed.removeAll(ids);
-            unconfirmed.addAll(ids);
+        if (ids.size() < unconfirmedIds.size()) {
+            unconfirmedIds.removeAll(ids);
+            unconfirmedIds.addAll(ids);
         }
         return ids;
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
@@ -38,7 +38,8 @@
     /** Number of routers in a fleet that is so small that each router polls the store for configurations itself. */
     private static final int CONFIGURATION_READERS = 3;
 
-    private static final Duration ALL_TURNS = Duration.ofSeconds(4);
+    /** Time after which each router has had its turn to read the restored store. */
+    private static final Duration TIME_FOR_ALL_TURNS = Duration.ofSeconds(4);
 
     /**
      * Maximum calls per second that the store accepts from all routers together, less than its limit for writes alone.
@@ -72,7 +73,7 @@
         assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(0);
         assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(0);
 
-        calls.addAll(callsEachSecond(fleet, ALL_TURNS));
+        calls.addAll(callsEachSecond(fleet, TIME_FOR_ALL_TURNS));
         assertThat(Collections.max(calls)).isAtMost(MAX_CALLS_PER_SECOND);
         assertThat(calls.get(calls.size() - 1)).isAtMost(MAX_IDLE_CALLS_PER_SECOND);
     }
