--- a/radishpass-router/src/main/java/org/radishpass/router/Router.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/Router.java
@@ -23,16 +23,16 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * A running router.
+ * Runs one router process: the HTTP server for callers, the links to peers and the control state.
  *
  * @since 0.1.0
  */
 public final class Router implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
-    private static final Duration PLATFORM_PATIENCE = Duration.ofSeconds(2);
-    private static final String PLATFORM_KIND = "platform";
-    private static final long STOP_POLL_MILLIS = 50;
-    private static final long QUIET_MILLIS = 200;
+    private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
+    private static final String PLATFORM_TRAFFIC_KIND = "platform";
+    private static final long DRAIN_POLL_MILLIS = 50;
+    private static final long CLOSE_DELAY_MILLIS = 200;
 
     private final RouterSettings settings;
     private final HttpRuntime runtime;
@@ -41,10 +41,10 @@
     private final RouterTraffic traffic;
 
     /**
-     * Starts a router.
+     * Starts a router: begins to listen for callers and peers and starts the periodic control work.
      *
-     * @param settings its settings, checked
-     * @param clock tells the time
+     * @param settings the validated settings
+     * @param clock the source of the current time
      * @throws IOException if the ports file cannot be written
      */
     public Router(RouterSettings settings, Clock clock) throws IOException {
@@ -55,43 +55,46 @@
         PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         ControlCpu.register(metrics);
         TrafficMeter meter = new TrafficMeter(metrics);
-        HttpClient platform = CountingHandler.counted(controlRuntime.client(), PLATFORM_KIND, meter);
-        HttpTableService tables = new HttpTableService(platform, settings.platform(), PLATFORM_PATIENCE);
+        HttpClient platform = CountingHandler.counted(controlRuntime.client(), PLATFORM_TRAFFIC_KIND, meter);
+        HttpTableService tables = new HttpTableService(platform, settings.platform(), PLATFORM_TIMEOUT);
         this.control = new RouterControl(
                 settings,
                 incarnation,
                 controlRuntime,
                 new ConfigurationStore(tables),
-                new VmListClient(platform, settings.platform(), settings.dataCentre(), PLATFORM_PATIENCE),
+                new VmListClient(platform, settings.platform(), settings.dataCentre(), PLATFORM_TIMEOUT),
                 metrics,
                 meter,
                 clock);
         this.traffic = new RouterTraffic(settings, runtime, control, new ClaimStore(tables), metrics, clock);
         control.start();
-        writePorts(incarnation);
-        LOG.info("router {} serves callers on {}:{}", settings.id(), settings.listen(), traffic.port());
+        writePortsFile(incarnation);
+        LOG.info("router {} is listening for callers on {}:{}", settings.id(), settings.listen(), traffic.port());
     }
 
-    /** Returns the port for callers. */
+    /** Returns the port that callers connect to. */
     public int port() {
         return traffic.port();
     }
 
     /**
-     * Stops without cutting a request: not ready first, then the balancer's time, then the requests in progress.
+     * Drains and closes the router, so that no request is interrupted.
      *
-     * @throws InterruptedException if the wait is broken off
+     * <p>The router first reports that it is not ready, then waits until the platform's load balancer has noticed, then
+     * waits for the requests in progress, up to the configured limit.
+     *
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public void stop() throws InterruptedException {
-        control.leave();
-        LOG.info("router {} is stopping with {} requests in progress", settings.id(), traffic.inProgress());
+        control.announceLeaving();
+        LOG.info("router {} is stopping; it waits for {} requests in progress", settings.id(), traffic.inProgress());
         Thread.sleep(Duration.ofSeconds(settings.balancerSeconds()).toMillis());
         long deadline =
                 System.nanoTime() + Duration.ofSeconds(settings.drainSeconds()).toNanos();
         while (traffic.inProgress() > 0 && System.nanoTime() - deadline < 0) {
-            Thread.sleep(STOP_POLL_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
-        Thread.sleep(QUIET_MILLIS);
+        Thread.sleep(CLOSE_DELAY_MILLIS);
         close();
     }
 
@@ -103,7 +106,7 @@
         runtime.close();
     }
 
-    private void writePorts(String incarnation) throws IOException {
+    private void writePortsFile(String incarnation) throws IOException {
         if (settings.portsFile() == null) {
             return;
         }
--- a/radishpass-router/src/main/java/org/radishpass/router/RouterMain.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/RouterMain.java
@@ -6,19 +6,19 @@
 import org.radishpass.runtime.settings.StopSignal;
 
 /**
- * The router's program.
+ * Entry point of the {@code radishpass-router} program.
  *
  * @since 0.1.0
  */
 public final class RouterMain {
     private RouterMain() {
-        // main only
+        // not instantiable
     }
 
     /**
-     * Runs a router until it is told to stop.
+     * Runs a router until the process receives a stop signal.
      *
-     * @param arguments the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String... arguments) {
         new Program<>(
--- a/radishpass-router/src/main/java/org/radishpass/router/RouterSettings.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/RouterSettings.java
@@ -6,15 +6,15 @@
 import org.radishpass.runtime.settings.VmSettings;
 
 /**
- * The settings of a router.
+ * Command-line settings of a router.
  *
  * @since 0.1.0
  */
 public final class RouterSettings extends VmSettings {
-    private static final int MOST_WORKERS = 64;
-    private static final int LEAST_PAUSE_MILLIS = 50;
-    private static final int MOST_PAUSE_MILLIS = 60_000;
-    private static final int MOST_DRAIN_SECONDS = 3_600;
+    private static final int MAX_WORKERS = 64;
+    private static final int MIN_INTERVAL_MILLIS = 50;
+    private static final int MAX_INTERVAL_MILLIS = 60_000;
+    private static final int MAX_DRAIN_SECONDS = 3_600;
 
     @Option(name = "--peer-port", metaVar = "PORT", usage = "port for other routers; 0 lets the system choose")
     private int peerPort;
@@ -43,45 +43,45 @@
     @Override
     protected void addFaults(List<String> faults) {
         SettingChecks.port("--peer-port", peerPort, faults);
-        SettingChecks.range("--workers", workers, 1, MOST_WORKERS, faults);
-        SettingChecks.range("--head-poll-millis", headPollMillis, LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS, faults);
-        SettingChecks.range("--list-poll-millis", listPollMillis, LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS, faults);
-        SettingChecks.range("--probe-millis", probeMillis, LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS, faults);
-        SettingChecks.range("--balancer-seconds", balancerSeconds, 0, MOST_DRAIN_SECONDS, faults);
-        SettingChecks.range("--drain-seconds", drainSeconds, 0, MOST_DRAIN_SECONDS, faults);
+        SettingChecks.range("--workers", workers, 1, MAX_WORKERS, faults);
+        SettingChecks.range("--head-poll-millis", headPollMillis, MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS, faults);
+        SettingChecks.range("--list-poll-millis", listPollMillis, MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS, faults);
+        SettingChecks.range("--probe-millis", probeMillis, MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS, faults);
+        SettingChecks.range("--balancer-seconds", balancerSeconds, 0, MAX_DRAIN_SECONDS, faults);
+        SettingChecks.range("--drain-seconds", drainSeconds, 0, MAX_DRAIN_SECONDS, faults);
     }
 
-    /** Returns the port for other routers. */
+    /** Returns the port that other routers connect to; 0 lets the system choose. */
     public int peerPort() {
         return peerPort;
     }
 
-    /** Returns the number of event loops. */
+    /** Returns the number of event loops that serve callers' requests. */
     public int workers() {
         return workers;
     }
 
-    /** Returns the pause between looks at the store's revision, in milliseconds. */
+    /** Returns the interval between polls of the store's configuration revision, in milliseconds. */
     public int headPollMillis() {
         return headPollMillis;
     }
 
-    /** Returns the pause between looks at the VM list, in milliseconds. */
+    /** Returns the interval between polls of the platform's VM list, in milliseconds. */
     public int listPollMillis() {
         return listPollMillis;
     }
 
-    /** Returns the pause between probes, in milliseconds. */
+    /** Returns the interval between probes of the same endpoint, in milliseconds. */
     public int probeMillis() {
         return probeMillis;
     }
 
-    /** Returns how long the balancer may take to notice, in seconds. */
+    /** Returns how long the platform's load balancer may take to notice that this router is not ready, in seconds. */
     public int balancerSeconds() {
         return balancerSeconds;
     }
 
-    /** Returns how long running requests may take after a stop, in seconds. */
+    /** Returns how long a stopping router waits for requests in progress, in seconds. */
     public int drainSeconds() {
         return drainSeconds;
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
@@ -19,202 +19,205 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the configuration in force: the newest revision that the store accepted, from the store or from a peer.
+ * Tracks the active configuration, which is the newest revision that was read from the store or from a peer.
  *
- * <p>A revision older than the one in force is never taken, whoever offers it: a stale read, a store restored from a
- * copy, a peer that lags. Confined to the control thread.
+ * <p>An older revision never replaces the active revision. Older revisions come from stale reads, from a store that was
+ * restored from a backup and from peers that lag. Confined to the control thread.
  *
  * @since 0.1.0
  */
 public final class ConfigurationTracker {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationTracker.class);
-    private static final int CHANGES_KEPT = 1_000;
-    private static final Duration PEER_PATIENCE = Duration.ofSeconds(2);
+    private static final int MAX_RECENT_CHANGES = 1_000;
+    private static final Duration PEER_TIMEOUT = Duration.ofSeconds(2);
 
     private final ControlThread control;
     private final ConfigurationStore store;
     private final PeerNode peers;
-    private final ChangeListener changed;
-    private final Deque<ConfigurationChange> recent = new ArrayDeque<>();
+    private final ChangeListener listener;
+    private final Deque<ConfigurationChange> recentChanges = new ArrayDeque<>();
     private volatile Configuration current = Configuration.empty();
-    private boolean known;
+    private boolean revisionKnown;
     private boolean fetching;
-    private boolean toldByPeer;
+    private boolean announcedByPeer;
 
     /**
      * Creates a tracker.
      *
      * @param control the control thread
-     * @param store the store
+     * @param store the configuration store
      * @param peers the links to peers
-     * @param metrics where the revision is shown
-     * @param changed learns when a newer revision is in force
+     * @param metrics the registry that publishes the active revision
+     * @param listener called after a newer revision becomes active, and when the revision is first known
      */
     public ConfigurationTracker(
             ControlThread control,
             ConfigurationStore store,
             PeerNode peers,
             MeterRegistry metrics,
-            ChangeListener changed) {
+            ChangeListener listener) {
         this.control = control;
         this.store = store;
         this.peers = peers;
-        this.changed = changed;
+        this.listener = listener;
         Gauge.builder("radishpass.configuration.revision", () -> current.revision())
                 .description("revision of the configuration in force")
                 .register(metrics);
     }
 
-    /** Returns the configuration in force. */
+    /** Returns the active configuration. */
     public Configuration current() {
         return current;
     }
 
-    /** Tells whether the store or a peer has told its revision since the start. */
-    public boolean known() {
-        return known;
+    /** Returns whether the store or a peer has reported its revision since this router started. */
+    public boolean revisionKnown() {
+        return revisionKnown;
     }
 
-    /** Looks at the store's revision. */
+    /** Requests the store's current revision and fetches the configuration if that revision is newer. */
     public void poll() {
         store.head()
                 .publishOn(control.scheduler())
                 .subscribe(
-                        this::heardFromStore,
-                        error -> LOG.debug("the store's revision is unknown: {}", error.getMessage()));
+                        this::onStoreRevision,
+                        error -> LOG.debug(
+                                "cannot read the store's configuration revision; the next poll retries: {}",
+                                error.getMessage()));
     }
 
     /**
-     * Learns of a revision that a peer has in force.
+     * Handles a peer's active revision: fetches newer changes from the store or, if the store fails, from the peer.
      *
-     * @param peer the peer
-     * @param revision its revision
+     * @param peer the peer, or empty if the peer is not in the fleet view
+     * @param revision the peer's active revision
      */
-    public void heardFromPeer(Optional<Vm> peer, long revision) {
+    public void onPeerRevision(Optional<Vm> peer, long revision) {
         if (revision > 0) {
-            becomeKnown();
+            markRevisionKnown();
         }
         if (revision <= current.revision() || fetching) {
             return;
         }
         fetching = true;
-        toldByPeer = true;
+        announcedByPeer = true;
         fetchFromStore(() -> peer.ifPresentOrElse(this::fetchFromPeer, () -> fetching = false));
     }
 
     /**
-     * Answers a peer that asks for the configuration.
+     * Returns the changes after a revision, or all records if the recent changes do not cover them.
      *
-     * @param after the revision that the peer has
+     * @param after the revision that the requesting peer has
      */
-    public PeerMessage.Changes answer(long after) {
+    public PeerMessage.Changes changesAfter(long after) {
         List<ConfigurationChange> changes = new ArrayList<>();
-        recent.stream().filter(change -> change.revision() > after).forEach(changes::add);
-        boolean whole = after + changes.size() == current.revision();
-        return whole
+        recentChanges.stream().filter(change -> change.revision() > after).forEach(changes::add);
+        boolean complete = after + changes.size() == current.revision();
+        return complete
                 ? new PeerMessage.Changes(current.revision(), changes, List.of())
                 : new PeerMessage.Changes(current.revision(), List.of(), List.copyOf(current.records()));
     }
 
-    private void becomeKnown() {
-        if (!known) {
-            known = true;
-            changed.changed(false);
+    private void markRevisionKnown() {
+        if (!revisionKnown) {
+            revisionKnown = true;
+            listener.onChange(false);
         }
     }
 
-    private void heardFromStore(long revision) {
-        becomeKnown();
+    private void onStoreRevision(long revision) {
+        markRevisionKnown();
         if (revision < current.revision()) {
             LOG.warn(
-                    "the store offers revision {}, older than {} in force; it is not taken",
+                    "ignored revision {} of the store, which is older than the active revision {}",
                     revision,
                     current.revision());
             return;
         }
         if (revision > current.revision() && !fetching) {
             fetching = true;
-            toldByPeer = false;
+            announcedByPeer = false;
             fetchFromStore(() -> fetching = false);
         }
     }
 
-    private void fetchFromStore(Runnable otherwise) {
+    private void fetchFromStore(Runnable onFailure) {
         if (current.revision() == 0) {
-            store.snapshot().publishOn(control.scheduler()).subscribe(this::replace, error -> otherwise.run());
+            store.snapshot().publishOn(control.scheduler()).subscribe(this::replace, error -> onFailure.run());
             return;
         }
         store.changesAfter(current.revision())
                 .publishOn(control.scheduler())
-                .subscribe(this::follow, error -> otherwise.run());
+                .subscribe(this::applyChanges, error -> onFailure.run());
     }
 
     private void fetchFromPeer(Vm peer) {
-        peers.request(peer, new PeerMessage.ChangesWanted(current.revision()), PEER_PATIENCE)
+        peers.request(peer, new PeerMessage.ChangesWanted(current.revision()), PEER_TIMEOUT)
                 .publishOn(control.scheduler())
                 .subscribe(
                         answer -> {
                             if (answer instanceof PeerMessage.Changes changes) {
-                                takeFromPeer(changes);
+                                applyFromPeer(changes);
                             }
                             fetching = false;
                         },
                         error -> fetching = false);
     }
 
-    private void takeFromPeer(PeerMessage.Changes offered) {
-        if (offered.revision() <= current.revision()) {
+    private void applyFromPeer(PeerMessage.Changes received) {
+        if (received.revision() <= current.revision()) {
             return;
         }
-        if (offered.records().isEmpty()) {
-            follow(offered.changes());
+        if (received.records().isEmpty()) {
+            applyChanges(received.changes());
         } else {
-            replace(Configuration.of(offered.revision(), offered.records()));
+            replace(Configuration.of(received.revision(), received.records()));
         }
     }
 
     private void replace(Configuration newer) {
         fetching = false;
         if (newer.revision() > current.revision()) {
-            recent.clear();
+            recentChanges.clear();
             publish(newer);
         }
     }
 
-    private void follow(List<ConfigurationChange> changes) {
+    private void applyChanges(List<ConfigurationChange> changes) {
         fetching = false;
-        List<ConfigurationChange> fresh = changes.stream()
+        List<ConfigurationChange> newChanges = changes.stream()
                 .filter(change -> change.revision() > current.revision())
                 .toList();
-        if (fresh.isEmpty()) {
+        if (newChanges.isEmpty()) {
             return;
         }
-        fresh.forEach(recent::addLast);
-        while (recent.size() > CHANGES_KEPT) {
-            recent.removeFirst();
+        newChanges.forEach(recentChanges::addLast);
+        while (recentChanges.size() > MAX_RECENT_CHANGES) {
+            recentChanges.removeFirst();
         }
-        publish(current.after(fresh));
+        publish(current.after(newChanges));
     }
 
     private void publish(Configuration newer) {
-        LOG.info("configuration revision {} is in force, after {}", newer.revision(), current.revision());
+        LOG.info("configuration revision {} is active and replaces revision {}", newer.revision(), current.revision());
         current = newer;
-        changed.changed(!toldByPeer);
-        toldByPeer = false;
+        listener.onChange(!announcedByPeer);
+        announcedByPeer = false;
     }
 
     /**
-     * Learns when a newer revision is in force.
+     * Receives changes of the active configuration.
      *
      * @since 0.1.0
      */
     @FunctionalInterface
     public interface ChangeListener {
         /**
-         * Takes the news.
+         * Called when the revision is first known and whenever a newer revision becomes active.
          *
-         * @param fromStore whether this router found it in the store by itself, so that peers may not know yet
+         * @param fromStore whether this router found the newer revision by polling the store, so that peers may not
+         *     know of the revision yet
          */
-        void changed(boolean fromStore);
+        void onChange(boolean fromStore);
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointProbe.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointProbe.java
@@ -15,14 +15,14 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Asks endpoints how they are.
+ * Probes endpoints for their status over HTTP.
  *
  * @since 0.1.0
  */
 public final class EndpointProbe {
-    private static final String PATH = "/v1/status";
-    private static final String KIND = "probe";
-    private static final Duration PATIENCE = Duration.ofMillis(900);
+    private static final String STATUS_PATH = "/v1/status";
+    private static final String TRAFFIC_KIND = "probe";
+    private static final Duration TIMEOUT = Duration.ofMillis(900);
 
     private final HttpClient client;
 
@@ -30,30 +30,31 @@
      * Creates a probe.
      *
      * @param client the HTTP client
-     * @param meter counts the bytes
+     * @param meter counts the bytes of probe traffic
      */
     public EndpointProbe(HttpClient client, TrafficMeter meter) {
-        this.client = CountingHandler.counted(client, KIND, meter);
+        this.client = CountingHandler.counted(client, TRAFFIC_KIND, meter);
     }
 
     /**
-     * Asks an endpoint; it ends in an error when none comes.
+     * Requests the status of an endpoint.
      *
-     * @param endpoint the endpoint
+     * @param endpoint the endpoint to probe
+     * @return the report, or an error if the endpoint does not respond in time
      */
-    public Mono<EndpointReport> ask(Endpoint endpoint) {
+    public Mono<EndpointReport> probe(Endpoint endpoint) {
         return client.get()
-                .uri("http://" + endpoint.address() + PATH)
+                .uri("http://" + endpoint.address() + STATUS_PATH)
                 .responseSingle((response, content) -> content.asByteArray())
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .map(bytes -> report(endpoint.id(), HttpJson.parse(bytes)));
     }
 
-    private static EndpointReport report(String id, JsonNode status) {
+    private static EndpointReport report(String endpointId, JsonNode status) {
         Set<String> pools = new HashSet<>();
         status.path("pools").forEach(pool -> pools.add(pool.asText()));
         return new EndpointReport(
-                id,
+                endpointId,
                 status.path("incarnation").asText(),
                 status.path("sequence").asLong(),
                 state(status.path("state").asText()),
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointReporting.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointReporting.java
@@ -11,16 +11,16 @@
 import org.radishpass.peer.transport.PeerNode;
 
 /**
- * Tells peers what this router's probes found of the endpoints that it owns, and remembers what each endpoint reported last.
- * Belongs to the control thread, but for {@link #load}.
+ * Sends the reports of endpoints that this router owns to its peers and stores the load that each endpoint last
+ * reported. Confined to the control thread, except {@link #lastLoad}.
  */
 final class EndpointReporting {
     private final String selfId;
     private final PeerNode peers;
     private final SlotOwner slots;
     private final FleetTracker fleet;
-    private final Map<String, EndpointReport> told = new HashMap<>();
-    private final ConcurrentHashMap<String, Integer> loads = new ConcurrentHashMap<>();
+    private final Map<String, EndpointReport> lastSent = new HashMap<>();
+    private final ConcurrentHashMap<String, Integer> lastLoads = new ConcurrentHashMap<>();
 
     EndpointReporting(String selfId, PeerNode peers, SlotOwner slots, FleetTracker fleet) {
         this.selfId = selfId;
@@ -29,42 +29,42 @@
         this.fleet = fleet;
     }
 
-    /** Returns the load that an endpoint reported last, 0 if it has not; may be called on any thread. */
-    int load(String endpointId) {
-        return loads.getOrDefault(endpointId, 0);
+    /** Returns the load that an endpoint last reported, or 0 if it has not reported yet. Safe to call on any thread. */
+    int lastLoad(String endpointId) {
+        return lastLoads.getOrDefault(endpointId, 0);
     }
 
-    /** Takes what a probe found; others are told if an endpoint that this router owns has changed. */
-    void probed(EndpointReport report, Collection<Vm> vms) {
-        loads.put(report.endpointId(), report.running());
-        slots.reported(report);
+    /** Handles the result of a probe and sends it to all peers if an endpoint that this router owns has changed. */
+    void onProbeResult(EndpointReport report, Collection<Vm> vms) {
+        lastLoads.put(report.endpointId(), report.running());
+        slots.onReport(report);
         if (!slots.book().ownedIds().contains(report.endpointId())) {
             return;
         }
-        EndpointReport before = told.get(report.endpointId());
-        if (before == null || !report.sameStanding(before)) {
-            told.put(report.endpointId(), report);
-            others(vms).forEach(vm -> peers.send(vm, ReportMessages.of(List.of(report))));
+        EndpointReport previous = lastSent.get(report.endpointId());
+        if (previous == null || !report.sameStanding(previous)) {
+            lastSent.put(report.endpointId(), report);
+            otherRouters(vms).forEach(vm -> peers.send(vm, ReportMessages.toMessage(List.of(report))));
         }
     }
 
-    /** Tells a peer that has just connected of all that this router owns. */
-    void tell(Vm peer) {
+    /** Sends the last reports of all endpoints that this router owns to a peer. */
+    void sendOwnedTo(Vm peer) {
         List<EndpointReport> reports = fleet.lastReports(slots.book().ownedIds());
         if (!reports.isEmpty()) {
-            peers.send(peer, ReportMessages.of(reports));
+            peers.send(peer, ReportMessages.toMessage(reports));
         }
     }
 
-    /** Repairs what a peer may have missed: each second one peer, by chance, is told of all that this router owns. */
-    void refreshOne(Collection<Vm> vms) {
-        List<Vm> others = others(vms);
+    /** Sends the last reports of all owned endpoints to a random peer, which may have missed earlier messages. */
+    void sendOwnedToRandomPeer(Collection<Vm> vms) {
+        List<Vm> others = otherRouters(vms);
         if (!others.isEmpty()) {
-            tell(others.get(ThreadLocalRandom.current().nextInt(others.size())));
+            sendOwnedTo(others.get(ThreadLocalRandom.current().nextInt(others.size())));
         }
     }
 
-    private List<Vm> others(Collection<Vm> vms) {
+    private List<Vm> otherRouters(Collection<Vm> vms) {
         return vms.stream().filter(vm -> !vm.id().equals(selfId)).toList();
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
@@ -17,7 +17,7 @@
 import org.radishpass.runtime.thread.ControlThread;
 
 /**
- * Keeps the directory of the fleet up to date: asks for the list and probes the endpoints that this router owns.
+ * Keeps the directory of the fleet up to date from the platform's VM list, probes of endpoints and peers' reports.
  *
  * <p>Confined to the control thread.
  *
@@ -31,87 +31,93 @@
     private final ControlThread control;
     private final EndpointProbe probe;
     private final Clock clock;
-    private final Consumer<EndpointReport> news;
-    private final Runnable changed;
-    private boolean listed;
+    private final Consumer<EndpointReport> reportListener;
+    private final Runnable changeListener;
+    private boolean listReceived;
 
     /**
      * Creates a tracker.
      *
      * @param control the control thread
-     * @param probe asks endpoints
-     * @param clock tells the time
-     * @param news takes each report of an own probe, and whether it was news
-     * @param changed runs after the picture may have changed
+     * @param probe requests the status of endpoints
+     * @param clock the source of the current time
+     * @param reportListener receives each report that this router's own probes produce
+     * @param changeListener runs after the view of the fleet may have changed
      */
     public FleetTracker(
-            ControlThread control, EndpointProbe probe, Clock clock, Consumer<EndpointReport> news, Runnable changed) {
+            ControlThread control,
+            EndpointProbe probe,
+            Clock clock,
+            Consumer<EndpointReport> reportListener,
+            Runnable changeListener) {
         this.control = control;
         this.probe = probe;
         this.clock = clock;
-        this.news = news;
-        this.changed = changed;
+        this.reportListener = reportListener;
+        this.changeListener = changeListener;
     }
 
-    /** Tells whether the list was seen since the start. */
-    public boolean listed() {
-        return listed;
+    /** Returns whether a non-empty VM list has been received since this router started. */
+    public boolean listReceived() {
+        return listReceived;
     }
 
-    /** Returns the picture as it is now. */
+    /** Returns the current view of the fleet. */
     public FleetView view() {
         return directory.view();
     }
 
     /**
-     * Takes the platform's list.
+     * Updates the directory from the platform's VM list.
      *
-     * @param listings the list
+     * @param listings the entries of the list
      */
-    public void take(Collection<VmListing> listings) {
-        boolean first = !listed && !listings.isEmpty();
-        listed |= first;
+    public void update(Collection<VmListing> listings) {
+        boolean first = !listReceived && !listings.isEmpty();
+        listReceived |= first;
         if (directory.listed(listings, clock.instant()) || first) {
-            changed.run();
+            changeListener.run();
         }
     }
 
     /**
-     * Takes a report that a peer passed on.
+     * Updates the directory from an endpoint's report that a peer sent.
      *
-     * @param report the report
+     * @param report the endpoint's report
      */
-    public void take(EndpointReport report) {
+    public void update(EndpointReport report) {
         if (directory.reported(report, clock.instant())) {
-            changed.run();
+            changeListener.run();
         }
     }
 
     /**
      * Marks a machine as leaving.
      *
-     * @param id the machine
+     * @param id the machine's ID
      */
-    public void left(String id) {
+    public void markLeaving(String id) {
         directory.left(id);
-        changed.run();
+        changeListener.run();
     }
 
     /**
-     * Probes endpoints.
+     * Starts one probe of each given endpoint.
      *
-     * @param endpoints the endpoints that this router owns
+     * @param endpoints the endpoints to probe
      */
     public void probe(Collection<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
-            probe.ask(endpoint).publishOn(control.scheduler()).subscribe(this::answered, error -> failed(endpoint));
+            probe.probe(endpoint)
+                    .publishOn(control.scheduler())
+                    .subscribe(this::onProbeAnswer, error -> onProbeFailure(endpoint));
         }
     }
 
     /**
-     * Returns the last reports of some endpoints.
+     * Returns the last report of each given endpoint that has reported.
      *
-     * @param endpointIds the endpoints
+     * @param endpointIds the IDs of the endpoints
      */
     public List<EndpointReport> lastReports(Set<String> endpointIds) {
         List<EndpointReport> reports = new ArrayList<>();
@@ -119,16 +125,16 @@
         return reports;
     }
 
-    private void answered(EndpointReport report) {
+    private void onProbeAnswer(EndpointReport report) {
         failures.remove(report.endpointId());
-        boolean isNews = directory.reported(report, clock.instant());
-        news.accept(report);
-        if (isNews) {
-            changed.run();
+        boolean directoryChanged = directory.reported(report, clock.instant());
+        reportListener.accept(report);
+        if (directoryChanged) {
+            changeListener.run();
         }
     }
 
-    private void failed(Endpoint endpoint) {
+    private void onProbeFailure(Endpoint endpoint) {
         int count = failures.merge(endpoint.id(), 1, Integer::sum);
         if (count < FAILURES_UNTIL_SUSPECT) {
             return;
@@ -143,8 +149,8 @@
                     last.running(),
                     last.capacity());
             if (last.state() != EndpointState.SUSPECT && directory.reported(suspect, clock.instant())) {
-                news.accept(suspect);
-                changed.run();
+                reportListener.accept(suspect);
+                changeListener.run();
             }
         });
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/ReportMessages.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/ReportMessages.java
@@ -6,21 +6,21 @@
 import org.radishpass.peer.message.PeerMessage;
 
 /**
- * Turns endpoints' reports into messages and back.
+ * Converts endpoints' reports to peer messages and back.
  *
  * @since 0.1.0
  */
 final class ReportMessages {
     private ReportMessages() {
-        // static methods only
+        // not instantiable
     }
 
-    static PeerMessage of(List<EndpointReport> reports) {
+    static PeerMessage toMessage(List<EndpointReport> reports) {
         return new PeerMessage.EndpointReports(
-                reports.stream().map(ReportMessages::write).toList());
+                reports.stream().map(ReportMessages::encode).toList());
     }
 
-    static EndpointReport read(PeerMessage.EndpointReport report) {
+    static EndpointReport decode(PeerMessage.EndpointReport report) {
         return new EndpointReport(
                 report.endpointId(),
                 report.incarnation(),
@@ -31,7 +31,7 @@
                 report.capacity());
     }
 
-    private static PeerMessage.EndpointReport write(EndpointReport report) {
+    private static PeerMessage.EndpointReport encode(EndpointReport report) {
         return new PeerMessage.EndpointReport(
                 report.endpointId(),
                 report.incarnation(),
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
@@ -26,15 +26,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The control state of a router: fleet, configuration and slots, all on one thread, published as snapshots.
+ * Keeps the control state of a router (fleet, configuration, slot accounts) on one thread and publishes snapshots.
  *
  * @since 0.1.0
  */
 public final class RouterControl implements PeerHandler, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RouterControl.class);
-    private static final Duration EXCHANGE_PERIOD = Duration.ofMillis(200);
-    private static final Duration GONE_AFTER = Duration.ofSeconds(3);
-    private static final Duration REFRESH_PERIOD = Duration.ofSeconds(1);
+    private static final Duration POOL_EXCHANGE_PERIOD = Duration.ofMillis(200);
+    private static final Duration DISCONNECT_GRACE = Duration.ofSeconds(3);
+    private static final Duration REPORT_REFRESH_PERIOD = Duration.ofSeconds(1);
 
     private final RouterSettings settings;
     private final String incarnation;
@@ -45,7 +45,7 @@
     private final SlotOwner slots;
     private final VmListClient vmList;
     private final EndpointReporting reporting;
-    private final PeerGreetings greetings;
+    private final NewPeerNotifier newPeers;
     private final List<Runnable> fleetListeners = new ArrayList<>();
     private volatile Function<PeerMessage.TicketRun, Mono<PeerMessage>> ticketHandler =
             run -> Mono.just(new PeerMessage.Done());
@@ -53,16 +53,16 @@
     private boolean stopping;
 
     /**
-     * Creates the control state and listens for peers.
+     * Creates the control state and begins to listen for peers.
      *
      * @param settings the router's settings
-     * @param incarnation which start of the router this is
-     * @param runtime event loops and clients
-     * @param store the configuration's store
-     * @param vmList the platform's list
-     * @param metrics where metrics are kept
+     * @param incarnation the ID of this start of the router
+     * @param runtime the event loops and HTTP client for control traffic
+     * @param store the configuration store
+     * @param vmList the client of the platform's VM list
+     * @param metrics the registry for metrics
      * @param meter counts the bytes of control traffic
-     * @param clock tells the time
+     * @param clock the source of the current time
      */
     public RouterControl(
             RouterSettings settings,
@@ -82,38 +82,39 @@
                 this,
                 meter,
                 this::hello);
-        this.configuration = new ConfigurationTracker(control, store, peers, metrics, this::configurationChanged);
-        this.greetings = new PeerGreetings(settings.id(), peers, configuration);
+        this.configuration = new ConfigurationTracker(control, store, peers, metrics, this::onConfigurationChange);
+        this.newPeers = new NewPeerNotifier(settings.id(), peers, configuration);
         this.slots = new SlotOwner(settings.id(), control, peers, clock);
         this.fleet = new FleetTracker(
-                control, new EndpointProbe(runtime.client(), meter), clock, this::probed, this::fleetChanged);
+                control, new EndpointProbe(runtime.client(), meter), clock, this::onProbeResult, this::updateFleet);
         this.reporting = new EndpointReporting(settings.id(), peers, slots, fleet);
     }
 
-    /** Starts the periodic work. */
+    /** Starts the periodic tasks: polls, probes, exchange of pool loads and refresh of reports. */
     public void start() {
         control.run(this::pollList);
         control.run(configuration::poll);
         control.every(Duration.ofMillis(settings.listPollMillis()), this::pollList);
         control.every(Duration.ofMillis(settings.headPollMillis()), configuration::poll);
-        control.every(Duration.ofMillis(settings.probeMillis()), this::probe);
-        control.every(EXCHANGE_PERIOD, () -> slots.exchange(snapshot.fleet()));
+        control.every(Duration.ofMillis(settings.probeMillis()), this::probeEndpoints);
+        control.every(POOL_EXCHANGE_PERIOD, () -> slots.exchange(snapshot.fleet()));
         control.every(
-                REFRESH_PERIOD, () -> reporting.refreshOne(snapshot.fleet().vms()));
+                REPORT_REFRESH_PERIOD,
+                () -> reporting.sendOwnedToRandomPeer(snapshot.fleet().vms()));
     }
 
-    /** Returns the newest snapshot. */
+    /** Returns the most recently published snapshot. */
     public RouterSnapshot snapshot() {
         return snapshot;
     }
 
     /**
-     * Returns the load that an endpoint last reported to this router, 0 if it has not.
+     * Returns the load that an endpoint last reported to this router, or 0 if it has not reported yet.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the endpoint's ID
      */
     public int reportedLoad(String endpointId) {
-        return reporting.load(endpointId);
+        return reporting.lastLoad(endpointId);
     }
 
     /** Returns the links to peers. */
@@ -126,45 +127,45 @@
         return control;
     }
 
-    /** Returns this router's identity. */
+    /** Returns this router's ID. */
     public String id() {
         return settings.id();
     }
 
-    /** Returns which start of the router this is. */
+    /** Returns the ID of this start of the router, which is different after each restart. */
     public String incarnation() {
         return incarnation;
     }
 
     /**
-     * Answers a slot request of this router's own traffic.
+     * Reserves a slot for this router's own traffic at an endpoint that this router owns.
      *
-     * @param wanted what is asked
+     * @param wanted the requested slot
      */
-    public Mono<PeerMessage> reserveHere(PeerMessage.SlotWanted wanted) {
+    public Mono<PeerMessage> reserveLocally(PeerMessage.SlotWanted wanted) {
         return control.call(() -> slots.reserve(settings.id(), wanted));
     }
 
     /**
-     * Frees a slot of this router's own traffic.
+     * Releases a slot of this router's own traffic at an endpoint that this router owns.
      *
      * @param freed the slot
      */
-    public void releaseHere(PeerMessage.SlotFreed freed) {
+    public void releaseLocally(PeerMessage.SlotFreed freed) {
         control.run(() -> slots.release(settings.id(), freed));
     }
 
     /**
-     * Takes over a slot of this router's own traffic.
+     * Adds a slot that this router's own traffic holds to the accounts, after this router became the endpoint's owner.
      *
      * @param held the slot
      */
-    public void adoptHere(PeerMessage.SlotHeld held) {
+    public void adoptLocally(PeerMessage.SlotHeld held) {
         control.run(() -> slots.adopt(settings.id(), held));
     }
 
     /**
-     * Has a task run on the control thread after each change of the fleet.
+     * Registers a task that runs on the control thread after each change of the fleet.
      *
      * @param listener the task
      */
@@ -173,16 +174,16 @@
     }
 
     /**
-     * Sets who serves calls that peers pass on because their tickets were given out here.
+     * Sets the handler of calls that peers forward to this router because this router issued their tickets.
      *
-     * @param handler serves them
+     * @param handler executes a forwarded call and returns the reply
      */
-    public void onTicket(Function<PeerMessage.TicketRun, Mono<PeerMessage>> handler) {
+    public void setTicketHandler(Function<PeerMessage.TicketRun, Mono<PeerMessage>> handler) {
         ticketHandler = handler;
     }
 
-    /** Tells the peers that this router stops, and is not ready from now on. */
-    public void leave() {
+    /** Marks this router as not ready and notifies all peers that it is leaving. */
+    public void announceLeaving() {
         control.run(() -> {
             stopping = true;
             broadcast(new PeerMessage.Leaving(settings.id()));
@@ -195,12 +196,12 @@
         if (message instanceof PeerMessage.TicketRun run) {
             return ticketHandler.apply(run);
         }
-        return control.call(() -> answer(from, message));
+        return control.call(() -> handleOnControlThread(from, message));
     }
 
     @Override
     public void disconnected(String from) {
-        control.after(GONE_AFTER, () -> {
+        control.after(DISCONNECT_GRACE, () -> {
             if (snapshot.fleet().vm(from).isEmpty()) {
                 slots.book().releaseAllOf(from);
             }
@@ -213,43 +214,43 @@
         control.close();
     }
 
-    private PeerMessage answer(String from, PeerMessage message) {
+    private PeerMessage handleOnControlThread(String from, PeerMessage message) {
         if (message instanceof PeerMessage.SlotWanted wanted) {
             return slots.reserve(from, wanted);
         }
         if (message instanceof PeerMessage.PoolParts parts) {
-            return slots.addUp(from, parts);
+            return slots.addParts(from, parts);
         }
         if (message instanceof PeerMessage.ChangesWanted wanted) {
-            return configuration.answer(wanted.after());
+            return configuration.changesAfter(wanted.after());
         }
-        take(from, message);
+        handleNotification(from, message);
         return new PeerMessage.Done();
     }
 
-    private void take(String from, PeerMessage message) {
+    private void handleNotification(String from, PeerMessage message) {
         Optional<Vm> sender = snapshot.fleet().vm(from);
         if (message instanceof PeerMessage.SlotFreed freed) {
             slots.release(from, freed);
         } else if (message instanceof PeerMessage.SlotHeld held) {
             slots.adopt(from, held);
         } else if (message instanceof PeerMessage.Head head) {
-            configuration.heardFromPeer(sender, head.revision());
+            configuration.onPeerRevision(sender, head.revision());
         } else if (message instanceof PeerMessage.Hello hello) {
-            greeted(hello, sender);
+            onHello(hello, sender);
         } else if (message instanceof PeerMessage.EndpointReports reports) {
-            reports.reports().forEach(report -> fleet.take(ReportMessages.read(report)));
+            reports.reports().forEach(report -> fleet.update(ReportMessages.decode(report)));
         } else if (message instanceof PeerMessage.Leaving leaving) {
-            LOG.info("router {} is leaving", leaving.vmId());
-            fleet.left(leaving.vmId());
+            LOG.info("router {} announced that it is leaving; it is marked as leaving in the fleet", leaving.vmId());
+            fleet.markLeaving(leaving.vmId());
         } else {
-            LOG.warn("a message of kind {} from {} was not expected", message.kind(), from);
+            LOG.warn("ignored an unexpected message of kind {} from {}", message.kind(), from);
         }
     }
 
-    private void greeted(PeerMessage.Hello hello, Optional<Vm> sender) {
-        configuration.heardFromPeer(sender, hello.revision());
-        sender.ifPresent(reporting::tell);
+    private void onHello(PeerMessage.Hello hello, Optional<Vm> sender) {
+        configuration.onPeerRevision(sender, hello.revision());
+        sender.ifPresent(reporting::sendOwnedTo);
     }
 
     private PeerMessage hello() {
@@ -260,32 +261,34 @@
     private void pollList() {
         vmList.list()
                 .publishOn(control.scheduler())
-                .subscribe(fleet::take, error -> LOG.debug("the VM list did not answer: {}", error.getMessage()));
+                .subscribe(
+                        fleet::update,
+                        error -> LOG.debug("cannot read the VM list; the next poll retries: {}", error.getMessage()));
     }
 
-    private void probe() {
-        boolean everyone = configuration.current().policy().needsReports();
-        fleet.probe(everyone ? snapshot.fleet().endpoints() : slots.owned());
+    private void probeEndpoints() {
+        boolean probeAll = configuration.current().policy().needsReports();
+        fleet.probe(probeAll ? snapshot.fleet().endpoints() : slots.owned());
     }
 
-    private void probed(EndpointReport report) {
-        reporting.probed(report, snapshot.fleet().vms());
+    private void onProbeResult(EndpointReport report) {
+        reporting.onProbeResult(report, snapshot.fleet().vms());
     }
 
-    private void configurationChanged(boolean fromStore) {
+    private void onConfigurationChange(boolean fromStore) {
         publish();
         if (fromStore) {
             broadcast(new PeerMessage.Head(configuration.current().revision()));
         }
     }
 
-    private void fleetChanged() {
+    private void updateFleet() {
         FleetView view = fleet.view();
         Map<String, Vm> owners = OwnerSelection.ofAll(view.endpoints(), view.vms());
         slots.fleetChanged(view, owners);
         publish(view, owners);
         peers.retain(id -> view.vm(id).isPresent());
-        greetings.greetNew(view);
+        newPeers.notifyNewPeers(view);
         fleetListeners.forEach(Runnable::run);
     }
 
@@ -294,7 +297,7 @@
     }
 
     private void publish(FleetView view, Map<String, Vm> owners) {
-        boolean ready = !stopping && configuration.known() && fleet.listed();
+        boolean ready = !stopping && configuration.revisionKnown() && fleet.listReceived();
         snapshot = new RouterSnapshot(view, owners, configuration.current(), ready);
     }
 
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterSnapshot.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterSnapshot.java
@@ -8,51 +8,53 @@
 import org.radishpass.records.Configuration;
 
 /**
- * What the control thread publishes for traffic: read once a request, never changed.
+ * Immutable control state that the control thread publishes; each request reads one snapshot.
  *
  * @param fleet the routers and endpoints
- * @param owners the owner of each endpoint's account, by the endpoint's identity
- * @param configuration the configuration in force
- * @param ready whether callers may be served
+ * @param owners the router that keeps each endpoint's slot account, by the endpoint's ID
+ * @param configuration the active configuration
+ * @param ready whether this router is ready to serve callers
  * @since 0.1.0
  */
 public record RouterSnapshot(FleetView fleet, Map<String, Vm> owners, Configuration configuration, boolean ready) {
-    /** Returns the snapshot before anything is known. */
+    /** Returns the empty snapshot that is used before the fleet and the configuration are known. */
     static RouterSnapshot initial() {
         return new RouterSnapshot(FleetView.empty(), Map.of(), Configuration.empty(), false);
     }
 
-    /** Returns the number of routers that take requests, at least 1. */
-    public int routers() {
+    /** Returns the number of routers that are not leaving, at least 1. */
+    public int activeRouterCount() {
         return (int)
                 Math.max(1, fleet.vms().stream().filter(vm -> !vm.leaving()).count());
     }
 
     /**
-     * Returns the router that keeps an endpoint's account.
+     * Returns the router that keeps an endpoint's slot account.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the endpoint's ID
      */
     public Optional<Vm> owner(String endpointId) {
         return Optional.ofNullable(owners.get(endpointId));
     }
 
     /**
-     * Returns the pool that serves a model now: that of the version in the record or, while no endpoint has loaded it
-     * yet, that of another version that is still loaded.
+     * Returns the pool that currently serves a model.
      *
-     * @param named the model, or model and adapter parted by a colon
+     * <p>This is the pool of the configured version. While no endpoint has loaded that version, a pool of another
+     * version that is still loaded is returned instead, if there is one.
+     *
+     * @param modelName the model's name, or the names of model and adapter separated by a colon
      */
-    public Optional<String> poolFor(String named) {
-        return configuration.poolOf(named).map(wanted -> {
-            if (!fleet.open(wanted).isEmpty()) {
-                return wanted;
+    public Optional<String> poolFor(String modelName) {
+        return configuration.poolOf(modelName).map(configured -> {
+            if (!fleet.open(configured).isEmpty()) {
+                return configured;
             }
-            String prefix = wanted.substring(0, wanted.lastIndexOf('@') + 1);
+            String prefix = configured.substring(0, configured.lastIndexOf('@') + 1);
             return fleet.openPools().stream()
                     .filter(pool -> pool.startsWith(prefix))
                     .max(Comparator.naturalOrder())
-                    .orElse(wanted);
+                    .orElse(configured);
         });
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
@@ -27,37 +27,40 @@
 import org.radishpass.runtime.thread.ControlThread;
 
 /**
- * Keeps the accounts of the endpoints that this router owns and the sums of the pools that fall to it.
+ * Keeps the slot accounts of the endpoints that this router owns and the total loads of the pools that it coordinates.
+ *
+ * <p>The endpoints of a pool may have different owners. Each owner therefore sends the partial load of its own
+ * endpoints to the pool's coordinator, which adds up the parts and replies with the total.
  *
  * <p>Confined to the control thread.
  *
  * @since 0.1.0
  */
 public final class SlotOwner {
-    private static final Duration EXCHANGE_PATIENCE = Duration.ofMillis(500);
-    private static final Duration PART_LIFE = Duration.ofSeconds(3);
-    private static final Duration REPEAT_UNCHANGED = Duration.ofSeconds(1);
+    private static final Duration EXCHANGE_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration PART_LIFETIME = Duration.ofSeconds(3);
+    private static final Duration UNCHANGED_RESEND_PERIOD = Duration.ofSeconds(1);
 
     private final SlotBook book = new SlotBook();
-    private final PoolLedger pools = new PoolLedger();
-    private final Map<String, PoolLoad> lastParts = new HashMap<>();
-    private final String ownId;
+    private final PoolLedger poolLedger = new PoolLedger();
+    private final Map<String, PoolLoad> lastSentParts = new HashMap<>();
+    private final String selfId;
     private final ControlThread control;
     private final PeerNode peers;
     private final Clock clock;
-    private Instant repeatAt = Instant.MIN;
+    private Instant resendAt = Instant.MIN;
     private List<Endpoint> owned = List.of();
 
     /**
-     * Creates the accounts.
+     * Creates an owner without endpoints.
      *
-     * @param ownId this router's machine
+     * @param selfId the ID of this router
      * @param control the control thread
      * @param peers the links to peers
-     * @param clock tells the time
+     * @param clock the source of the current time
      */
-    public SlotOwner(String ownId, ControlThread control, PeerNode peers, Clock clock) {
-        this.ownId = ownId;
+    public SlotOwner(String selfId, ControlThread control, PeerNode peers, Clock clock) {
+        this.selfId = selfId;
         this.control = control;
         this.peers = peers;
         this.clock = clock;
@@ -68,32 +71,32 @@
         return owned;
     }
 
-    /** Returns the accounts. */
+    /** Returns the slot accounts of the owned endpoints. */
     public SlotBook book() {
         return book;
     }
 
     /**
-     * Works out anew what this router owns.
+     * Recomputes which endpoints this router owns.
      *
-     * @param fleet the picture of the fleet
-     * @param owners the owner of each endpoint
+     * @param fleet the current view of the fleet
+     * @param owners the owner of each endpoint, by the endpoint's ID
      */
     public void fleetChanged(FleetView fleet, Map<String, Vm> owners) {
         owned = fleet.endpoints().stream()
                 .filter(endpoint -> {
                     Vm owner = owners.get(endpoint.id());
-                    return owner != null && owner.id().equals(ownId);
+                    return owner != null && owner.id().equals(selfId);
                 })
                 .toList();
         book.own(owned);
     }
 
     /**
-     * Answers a request for a slot.
+     * Grants or denies a slot at an owned endpoint.
      *
-     * @param holder the router that asks
-     * @param wanted what it asks
+     * @param holder the ID of the requesting router
+     * @param wanted the requested slot
      */
     public PeerMessage.SlotReply reserve(String holder, PeerMessage.SlotWanted wanted) {
         Instant now = clock.instant();
@@ -106,9 +109,9 @@
     }
 
     /**
-     * Takes over a slot.
+     * Adds a slot that was granted by the endpoint's previous owner to the accounts.
      *
-     * @param holder the router that holds it
+     * @param holder the ID of the router that holds the slot
      * @param held the slot
      */
     public void adopt(String holder, PeerMessage.SlotHeld held) {
@@ -120,9 +123,9 @@
     }
 
     /**
-     * Frees a slot.
+     * Releases a slot.
      *
-     * @param holder the router that held it
+     * @param holder the ID of the router that held the slot
      * @param freed the slot
      */
     public void release(String holder, PeerMessage.SlotFreed freed) {
@@ -130,55 +133,57 @@
     }
 
     /**
-     * Takes an endpoint's report.
+     * Updates an endpoint's account with the load and capacity that the endpoint reported.
      *
-     * @param report the report
+     * @param report the endpoint's report
      */
-    public void reported(EndpointReport report) {
+    public void onReport(EndpointReport report) {
         book.report(report.endpointId(), report.running(), report.capacity());
     }
 
     /**
-     * Adds up parts of pools for an owner.
+     * Records an owner's partial pool loads and returns the total load of each of these pools.
      *
-     * @param owner the owner
-     * @param parts its parts
+     * @param owner the ID of the router that sent the parts
+     * @param parts the partial loads of that router's endpoints, by pool
      */
-    public PeerMessage.PoolTotals addUp(String owner, PeerMessage.PoolParts parts) {
+    public PeerMessage.PoolTotals addParts(String owner, PeerMessage.PoolParts parts) {
         Instant now = clock.instant();
         List<PeerMessage.PoolSum> totals = new ArrayList<>();
         for (PeerMessage.PoolSum part : parts.parts()) {
-            pools.report(part.pool(), owner, new PoolLoad(part.running(), part.weight()), now.plus(PART_LIFE));
-            PoolLoad total = pools.total(part.pool(), now);
+            poolLedger.report(part.pool(), owner, new PoolLoad(part.running(), part.weight()), now.plus(PART_LIFETIME));
+            PoolLoad total = poolLedger.total(part.pool(), now);
             totals.add(sum(part.pool(), total));
         }
         return new PeerMessage.PoolTotals(totals);
     }
 
     /**
-     * Exchanges this owner's parts of pools for the pools' totals, and lets overdue slots lapse.
+     * Releases expired slots, then sends this router's partial pool loads to the coordinators to obtain the totals.
+     *
+     * <p>Unchanged parts are sent less often than changed parts.
      *
-     * @param fleet the picture of the fleet
+     * @param fleet the current view of the fleet
      */
     public void exchange(FleetView fleet) {
         Instant now = clock.instant();
         book.expire(now);
         Map<String, PoolLoad> parts = book.parts();
-        boolean repeat = !now.isBefore(repeatAt);
-        if (repeat) {
-            repeatAt = now.plus(REPEAT_UNCHANGED);
+        boolean resendUnchanged = !now.isBefore(resendAt);
+        if (resendUnchanged) {
+            resendAt = now.plus(UNCHANGED_RESEND_PERIOD);
         }
         Map<Vm, List<PeerMessage.PoolSum>> byCoordinator = new HashMap<>();
         parts.forEach((pool, part) -> {
-            if (!repeat && part.equals(lastParts.get(pool))) {
+            if (!resendUnchanged && part.equals(lastSentParts.get(pool))) {
                 return;
             }
             Optional<Vm> coordinator = OwnerSelection.ofPool(pool, fleet.vms());
             coordinator.ifPresent(vm ->
                     byCoordinator.computeIfAbsent(vm, key -> new ArrayList<>()).add(sum(pool, part)));
         });
-        lastParts.clear();
-        lastParts.putAll(parts);
+        lastSentParts.clear();
+        lastSentParts.putAll(parts);
         byCoordinator.forEach((vm, sums) -> exchangeWith(vm, new PeerMessage.PoolParts(sums)));
     }
 
@@ -187,22 +192,22 @@
     }
 
     private void exchangeWith(Vm coordinator, PeerMessage.PoolParts parts) {
-        if (coordinator.id().equals(ownId)) {
-            takeTotals(parts, addUp(ownId, parts));
+        if (coordinator.id().equals(selfId)) {
+            applyTotals(parts, addParts(selfId, parts));
             return;
         }
-        peers.request(coordinator, parts, EXCHANGE_PATIENCE)
+        peers.request(coordinator, parts, EXCHANGE_TIMEOUT)
                 .publishOn(control.scheduler())
                 .subscribe(
                         answer -> {
                             if (answer instanceof PeerMessage.PoolTotals totals) {
-                                takeTotals(parts, totals);
+                                applyTotals(parts, totals);
                             }
                         },
-                        error -> lastParts.clear());
+                        error -> lastSentParts.clear());
     }
 
-    private void takeTotals(PeerMessage.PoolParts parts, PeerMessage.PoolTotals totals) {
+    private void applyTotals(PeerMessage.PoolParts parts, PeerMessage.PoolTotals totals) {
         Instant now = clock.instant();
         for (int i = 0; i < Math.min(parts.parts().size(), totals.totals().size()); i++) {
             PeerMessage.PoolSum part = parts.parts().get(i);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/package-info.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Control state of a router, confined to its control thread; not API.
+ * Control state of a router: fleet, configuration and slot accounts. Confined to the control thread; not API.
  *
  * @since 0.1.0
  */
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/Attempt.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/Attempt.java
@@ -6,18 +6,18 @@
 import org.radishpass.core.fleet.Endpoint;
 
 /**
- * One sending of a request to an endpoint.
+ * One attempt to execute a request at an endpoint.
  *
- * @param requestId the request
- * @param number counts the attempts, from 1
- * @param endpoint where it goes
+ * @param requestId the request's ID
+ * @param number the number of this attempt within the request, from 1
+ * @param endpoint the endpoint that receives the request
  * @param method the HTTP method
  * @param path the path at the endpoint
- * @param contentType the type of the body, if it has one
- * @param body the body
- * @param priority the class of the request
- * @param deadline after which it must not be sent
- * @param resumeFrom the number of the first token that is still wanted
+ * @param contentType the media type of the body, or null
+ * @param body the request body
+ * @param priority the request's priority class
+ * @param deadline the time after which the request must not be sent
+ * @param resumeFrom the number of the first token that the caller has not received
  * @since 0.1.0
  */
 public record Attempt(
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/AttemptFailure.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/AttemptFailure.java
@@ -3,7 +3,7 @@
 import org.radishpass.core.outcome.Verdict;
 
 /**
- * An attempt at an endpoint that did not bring a whole answer.
+ * Thrown when an attempt at an endpoint did not produce a complete response.
  *
  * @since 0.1.0
  */
@@ -13,10 +13,10 @@
     private final Verdict verdict;
 
     /**
-     * Creates it.
+     * Creates a failure without a stack trace.
      *
      * @param verdict whether the request may have run
-     * @param message what happened
+     * @param message the cause of the failure
      */
     public AttemptFailure(Verdict verdict, String message) {
         super(message, null, false, false);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/EndpointClient.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/EndpointClient.java
@@ -17,19 +17,19 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /**
- * Sends attempts to endpoints and checks what comes back.
+ * Sends attempts to endpoints and validates the responses.
  *
- * <p>An answer counts only if it names the request and the attempt; anything else is dropped. What fails ends in an
- * {@link AttemptFailure} whose verdict is {@code NOT_RUN} only if nothing was handed to the socket, or the endpoint itself
- * said so.
+ * <p>A response is accepted only if its headers return the request's ID and the attempt's number. Every failure is an
+ * {@link AttemptFailure}. Its verdict is {@code NOT_RUN} only if no part of the request was written to the socket, or
+ * if the endpoint's response states that the request did not run.
  *
  * @since 0.1.0
  */
 public final class EndpointClient {
     private static final int OK = 200;
     private static final int SERVER_ERROR = 500;
-    private static final Duration FIRST_EVENT_PATIENCE = Duration.ofSeconds(20);
-    private static final Duration NEXT_EVENT_PATIENCE = Duration.ofSeconds(10);
+    private static final Duration FIRST_EVENT_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration NEXT_EVENT_TIMEOUT = Duration.ofSeconds(10);
 
     private final HttpClient client;
     private final Clock clock;
@@ -37,8 +37,8 @@
     /**
      * Creates a client.
      *
-     * @param client the HTTP client, which must not send anything again by itself
-     * @param clock tells the time
+     * @param client the HTTP client, which must not resend requests on its own
+     * @param clock the source of the current time
      */
     public EndpointClient(HttpClient client, Clock clock) {
         this.client = client;
@@ -46,60 +46,60 @@
     }
 
     /**
-     * Sends an attempt and returns its events as they come, the last one with the mark that ends the stream.
+     * Sends an attempt and returns the events of the response as they arrive. The last event is the end marker.
      *
-     * @param attempt the attempt
+     * @param attempt the attempt to send
      */
     public Flux<SseEvent> stream(Attempt attempt) {
         AtomicBoolean sent = new AtomicBoolean();
         SseFramer framer = new SseFramer();
         return request(attempt, sent)
                 .response((response, content) -> {
-                    check(attempt, response);
+                    requireMatchingIds(attempt, response);
                     if (response.status().code() != OK) {
-                        return refused(response, content);
+                        return statusFailure(response, content);
                     }
                     return content.asByteArray().concatMapIterable(framer::accept);
                 })
-                .transform(EndpointClient::wholeStream)
-                .onErrorMap(error -> failure(error, sent));
+                .transform(EndpointClient::requireEndMarker)
+                .onErrorMap(error -> toAttemptFailure(error, sent));
     }
 
     /**
-     * Sends an attempt and returns the answer, all of it.
+     * Sends an attempt and returns the complete response.
      *
-     * @param attempt the attempt
+     * @param attempt the attempt to send
      */
-    public Mono<WholeAnswer> call(Attempt attempt) {
+    public Mono<CompleteResponse> call(Attempt attempt) {
         AtomicBoolean sent = new AtomicBoolean();
         return request(attempt, sent)
                 .responseSingle((response, content) -> {
-                    check(attempt, response);
+                    requireMatchingIds(attempt, response);
                     if (endpointDeclined(response.responseHeaders())) {
-                        return Mono.error(declined(response));
+                        return Mono.error(declinedFailure(response));
                     }
                     String type = response.responseHeaders().get(HttpHeaderNames.CONTENT_TYPE);
                     return content.asByteArray()
                             .defaultIfEmpty(new byte[0])
-                            .map(body -> new WholeAnswer(response.status().code(), type, body));
+                            .map(body -> new CompleteResponse(response.status().code(), type, body));
                 })
                 .timeout(Duration.between(clock.instant(), attempt.deadline()))
-                .onErrorMap(error -> failure(error, sent));
+                .onErrorMap(error -> toAttemptFailure(error, sent));
     }
 
-    private static Flux<SseEvent> wholeStream(Flux<SseEvent> events) {
+    private static Flux<SseEvent> requireEndMarker(Flux<SseEvent> events) {
         AtomicBoolean ended = new AtomicBoolean();
-        Flux<SseEvent> cut =
+        Flux<SseEvent> missingEndMarker =
                 Flux.error(() -> new AttemptFailure(Verdict.MAY_HAVE_RUN, "the stream ended without its mark"));
-        return events.timeout(Mono.delay(FIRST_EVENT_PATIENCE), event -> Mono.delay(NEXT_EVENT_PATIENCE))
+        return events.timeout(Mono.delay(FIRST_EVENT_TIMEOUT), event -> Mono.delay(NEXT_EVENT_TIMEOUT))
                 .takeWhile(event -> !ended.get())
-                .doOnNext(event -> ended.set(event.last()))
+                .doOnNext(event -> ended.set(event.endMarker()))
                 .onErrorResume(error -> ended.get() ? Flux.empty() : Flux.error(error))
-                .concatWith(Flux.defer(() -> ended.get() ? Flux.empty() : cut));
+                .concatWith(Flux.defer(() -> ended.get() ? Flux.empty() : missingEndMarker));
     }
 
     private HttpClient.ResponseReceiver<?> request(Attempt attempt, AtomicBoolean sent) {
-        return client.headers(headers -> fill(headers, attempt))
+        return client.headers(headers -> setHeaders(headers, attempt))
                 .request(HttpMethod.valueOf(attempt.method()))
                 .uri("http://" + attempt.endpoint().address() + attempt.path())
                 .send((request, outbound) -> write(attempt, sent, request, outbound));
@@ -115,7 +115,7 @@
         return outbound.sendByteArray(Mono.just(attempt.body()));
     }
 
-    private void fill(HttpHeaders headers, Attempt attempt) {
+    private void setHeaders(HttpHeaders headers, Attempt attempt) {
         headers.set(HeaderNames.REQUEST_ID, attempt.requestId());
         headers.set(HeaderNames.ATTEMPT, attempt.number());
         headers.set(HeaderNames.PRIORITY, attempt.priority().enginePriority());
@@ -130,7 +130,7 @@
         }
     }
 
-    private static void check(Attempt attempt, HttpClientResponse response) {
+    private static void requireMatchingIds(Attempt attempt, HttpClientResponse response) {
         HttpHeaders headers = response.responseHeaders();
         boolean sameRequest = attempt.requestId().equals(headers.get(HeaderNames.REQUEST_ID));
         boolean sameAttempt = Integer.toString(attempt.number()).equals(headers.get(HeaderNames.ATTEMPT));
@@ -143,15 +143,15 @@
         return Boolean.parseBoolean(headers.get(HeaderNames.NOT_RUN));
     }
 
-    private static AttemptFailure declined(HttpClientResponse response) {
+    private static AttemptFailure declinedFailure(HttpClientResponse response) {
         return new AttemptFailure(
                 Verdict.NOT_RUN,
                 "the endpoint declined with status " + response.status().code());
     }
 
-    private static Flux<SseEvent> refused(HttpClientResponse response, ByteBufFlux content) {
+    private static Flux<SseEvent> statusFailure(HttpClientResponse response, ByteBufFlux content) {
         if (endpointDeclined(response.responseHeaders())) {
-            return Flux.error(declined(response));
+            return Flux.error(declinedFailure(response));
         }
         int status = response.status().code();
         Verdict verdict = status < SERVER_ERROR ? Verdict.RAN : Verdict.MAY_HAVE_RUN;
@@ -159,7 +159,7 @@
                 .thenMany(Flux.error(new AttemptFailure(verdict, "the endpoint answered with status " + status)));
     }
 
-    private static Throwable failure(Throwable error, AtomicBoolean sent) {
+    private static Throwable toAttemptFailure(Throwable error, AtomicBoolean sent) {
         if (error instanceof AttemptFailure) {
             return error;
         }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/SseFramer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/SseFramer.java
@@ -6,28 +6,29 @@
 import java.util.List;
 
 /**
- * Cuts a stream of bytes into server-sent events.
+ * Splits a byte stream into server-sent events.
  *
- * <p>Keeps what has not ended yet, up to a bound. One object serves one stream.
+ * <p>Buffers the incomplete event at the end of the input, up to {@link #MAX_EVENT_BYTES}. Each stream needs its own
+ * instance.
  *
  * @since 0.1.0
  */
 public final class SseFramer {
-    /** The most bytes that an event may have. */
+    /** The maximum size of an event, in bytes. */
     public static final int MAX_EVENT_BYTES = 1024 * 1024;
 
-    private static final String DONE = "data: [DONE]";
-    private static final String ID = "id: ";
+    private static final String END_MARKER = "data: [DONE]";
+    private static final String ID_PREFIX = "id: ";
     private static final int MAX_ID_DIGITS = 18;
 
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private boolean afterNewline;
 
     /**
-     * Takes bytes and returns the events that they complete.
+     * Appends bytes of the stream and returns the events that these bytes complete.
      *
-     * @param bytes the bytes
-     * @throws AttemptFailure if an event grows over the bound
+     * @param bytes the next bytes of the stream
+     * @throws AttemptFailure if the incomplete event is larger than {@link #MAX_EVENT_BYTES}
      */
     public List<SseEvent> accept(byte[] bytes) {
         List<SseEvent> events = new ArrayList<>();
@@ -37,7 +38,7 @@
             }
             pending.write(next);
             if (next == '\n' && afterNewline) {
-                finish(events);
+                completeEvent(events);
                 afterNewline = false;
             } else {
                 afterNewline = next == '\n';
@@ -50,30 +51,30 @@
         return events;
     }
 
-    private void finish(List<SseEvent> events) {
+    private void completeEvent(List<SseEvent> events) {
         byte[] raw = pending.toByteArray();
         pending.reset();
         if (raw.length > 2) {
-            events.add(event(raw));
+            events.add(parseEvent(raw));
         }
     }
 
-    private static SseEvent event(byte[] raw) {
+    private static SseEvent parseEvent(byte[] raw) {
         long id = -1;
-        boolean last = false;
+        boolean endMarker = false;
         for (String line : new String(raw, StandardCharsets.UTF_8).split("\n", -1)) {
-            if (line.startsWith(ID)) {
-                id = number(line.substring(ID.length()).trim());
+            if (line.startsWith(ID_PREFIX)) {
+                id = parseId(line.substring(ID_PREFIX.length()).trim());
             }
-            last |= line.equals(DONE);
+            endMarker |= line.equals(END_MARKER);
         }
-        return new SseEvent(raw, id, last);
+        return new SseEvent(raw, id, endMarker);
     }
 
-    private static long number(String digits) {
-        boolean plain = !digits.isEmpty()
+    private static long parseId(String digits) {
+        boolean valid = !digits.isEmpty()
                 && digits.length() <= MAX_ID_DIGITS
                 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        return plain ? Long.parseLong(digits) : -1;
+        return valid ? Long.parseLong(digits) : -1;
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/package-info.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests to endpoints and the reading of their answers; not API.
+ * HTTP client for endpoints, including validation of responses and parsing of event streams; not API.
  *
  * @since 0.1.0
  */
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/OnceGuard.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/AtMostOnceGuard.java
@@ -13,68 +13,69 @@
 import org.radishpass.core.outcome.Refusal;
 import org.radishpass.core.outcome.RefusalCode;
 import org.radishpass.core.outcome.Verdict;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import org.radishpass.tables.once.ClaimStore;
 import reactor.core.publisher.Mono;
 
 /**
- * Lets a non-idempotent request with a key run at most once in the whole fleet.
+ * Ensures that a non-idempotent request with an idempotency key runs at most once in the whole fleet.
  *
- * <p>The key is claimed in the platform's store before anything is sent. The answer is stored with the claim, so that a
- * caller that lost it gets it again from any router. Without the store the request is refused, truthfully, as not run,
- * unless its key is a ticket.
+ * <p>The key is claimed in the platform's store before the request is sent to an endpoint. The response is stored with
+ * the claim, so that a caller that lost the response can fetch it again from any router. If the store is unavailable,
+ * the request is refused with the verdict {@code NOT_RUN}. Keys that are tickets do not need the store.
  *
  * @since 0.1.0
  */
-final class OnceGuard {
-    private static final int MOST_STORED_BYTES = 64 * 1024;
-    private static final Duration FINISH_PATIENCE = Duration.ofSeconds(1);
+final class AtMostOnceGuard {
+    private static final int MAX_STORED_BYTES = 64 * 1024;
+    private static final Duration FINISH_TIMEOUT = Duration.ofSeconds(1);
 
     private final ClaimStore claims;
-    private final TicketDesk tickets;
+    private final TicketService tickets;
     private final java.time.Clock clock;
 
-    OnceGuard(ClaimStore claims, TicketDesk tickets, java.time.Clock clock) {
+    AtMostOnceGuard(ClaimStore claims, TicketService tickets, java.time.Clock clock) {
         this.claims = claims;
         this.tickets = tickets;
         this.clock = clock;
     }
 
     /**
-     * Runs a request unless it ran, or may have run, before. It goes on to its end even if the caller leaves.
+     * Runs a request unless the request ran, or may have run, before. A started request continues even if the caller
+     * disconnects.
      *
      * @param caller the caller's request
-     * @param call the call, which has a key
-     * @param run sends it
+     * @param call the call, which must have a key
+     * @param run executes the call
      */
-    Mono<WholeAnswer> once(CallerRequest caller, ServiceCall call, ServiceRun run) {
+    Mono<CompleteResponse> runAtMostOnce(CallerRequest caller, ServiceCall call, ServiceRun run) {
         Optional<Ticket> ticket = Ticket.parse(String.valueOf(call.key()));
         if (ticket.isPresent()) {
             return tickets.redeem(ticket.get(), caller, call, run);
         }
         String key = caller.workspace().name() + '/' + call.service() + '/' + call.key();
-        Claim claim = Claim.open(caller.id(), hash(call), clock.instant());
-        Mono<WholeAnswer> answer = claims.claim(key, claim)
-                .flatMap(decision -> act(decision, key, claim, run))
+        Claim claim = Claim.open(caller.id(), requestHash(call), clock.instant());
+        Mono<CompleteResponse> answer = claims.claim(key, claim)
+                .flatMap(decision -> applyDecision(decision, key, claim, run))
                 .cache();
         answer.subscribe(done -> {}, error -> {
-            // the caller's own subscription reports it
+            // the caller's own subscription reports the error
         });
         return answer;
     }
 
-    private Mono<WholeAnswer> act(ClaimDecision decision, String key, Claim claim, ServiceRun run) {
+    private Mono<CompleteResponse> applyDecision(ClaimDecision decision, String key, Claim claim, ServiceRun run) {
         if (decision instanceof ClaimDecision.Run) {
-            return run(key, claim, run);
+            return runClaimed(key, claim, run);
         }
         if (decision instanceof ClaimDecision.Replay replay) {
-            return Mono.just(replayed(replay.claim()));
+            return Mono.just(storedResponse(replay.claim()));
         }
         return Mono.error(new RefusedException(refusal(decision)));
     }
 
-    private Mono<WholeAnswer> run(String key, Claim claim, ServiceRun run) {
-        return run.answer()
+    private Mono<CompleteResponse> runClaimed(String key, Claim claim, ServiceRun run) {
+        return run.response()
                 .flatMap(answer -> store(key, claim, answer).thenReturn(answer))
                 .onErrorResume(RefusedException.class, refused -> {
                     if (refused.refusal().verdict() != Verdict.NOT_RUN) {
@@ -84,20 +85,20 @@
                 });
     }
 
-    private Mono<Void> store(String key, Claim claim, WholeAnswer answer) {
-        if (answer.body().length > MOST_STORED_BYTES) {
+    private Mono<Void> store(String key, Claim claim, CompleteResponse answer) {
+        if (answer.body().length > MAX_STORED_BYTES) {
             return Mono.empty();
         }
         String body = Base64.getEncoder().encodeToString(answer.body());
         return claims.finish(key, claim.done(answer.status(), answer.contentType(), body))
-                .timeout(FINISH_PATIENCE)
+                .timeout(FINISH_TIMEOUT)
                 .onErrorComplete();
     }
 
-    private static WholeAnswer replayed(Claim claim) {
+    private static CompleteResponse storedResponse(Claim claim) {
         Integer status = claim.status();
         String body = claim.body();
-        return new WholeAnswer(
+        return new CompleteResponse(
                 status == null ? 200 : status,
                 claim.contentType(),
                 Base64.getDecoder().decode(body == null ? "" : body));
@@ -114,8 +115,8 @@
                 RefusalCode.IN_PROGRESS, Verdict.MAY_HAVE_RUN, "the same request is running, or its answer was lost");
     }
 
-    /** Returns the hash of what a call asks. */
-    static String hash(ServiceCall call) {
+    /** Returns the hash of a call's method, path and body, which detects a key that is reused for another request. */
+    static String requestHash(ServiceCall call) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update((call.method() + ' ' + call.path() + '\n').getBytes(StandardCharsets.UTF_8));
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerIdentity.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerIdentity.java
@@ -16,25 +16,26 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * Finds out who asks: the workspace from the key, the class and the deadline from headers.
+ * Identifies the caller of a request: authenticates the workspace by its API key and reads class and deadline headers.
  *
- * <p>A key is {@code WORKSPACE.SECRET}; the record of the workspace holds a salted hash of the secret.
+ * <p>An API key has the form {@code WORKSPACE.SECRET}. The workspace's configuration record holds a salted hash of the
+ * secret.
  *
  * @since 0.1.0
  */
 public final class CallerIdentity {
-    private static final String BEARER = "Bearer ";
-    private static final long MOST_DEADLINE_MILLIS = 24L * 60 * 60 * 1000;
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final long MAX_DEADLINE_MILLIS = 24L * 60 * 60 * 1000;
 
-    private final AtomicLong lastRequest = new AtomicLong();
+    private final AtomicLong lastRequestNumber = new AtomicLong();
     private final RouterControl control;
     private final Clock clock;
 
     /**
-     * Creates it.
+     * Creates an identification of callers.
      *
      * @param control the router's control state
-     * @param clock tells the time
+     * @param clock the source of the current time
      */
     public CallerIdentity(RouterControl control, Clock clock) {
         this.control = control;
@@ -42,10 +43,10 @@
     }
 
     /**
-     * Returns the request with what is known of its caller.
+     * Authenticates the caller and returns the request's workspace, priority class and deadline.
      *
      * @param request the HTTP request
-     * @throws RefusedException if the caller may not ask
+     * @throws RefusedException if the API key or a header is invalid, or if this router has no configuration yet
      */
     public CallerRequest identify(HttpServerRequest request) {
         RouterSnapshot snapshot = control.snapshot();
@@ -59,7 +60,7 @@
         PriorityClass priority = priority(headers.get(HeaderNames.PRIORITY), workspace);
         Instant now = clock.instant();
         return new CallerRequest(
-                nextId(),
+                nextRequestId(),
                 workspace,
                 priority,
                 now,
@@ -67,16 +68,16 @@
                 snapshot);
     }
 
-    /** Returns a request identity that no other request of the fleet has. */
-    public String nextId() {
-        return control.id() + '-' + control.incarnation() + '-' + lastRequest.incrementAndGet();
+    /** Returns a new request ID, unique in the fleet. */
+    public String nextRequestId() {
+        return control.id() + '-' + control.incarnation() + '-' + lastRequestNumber.incrementAndGet();
     }
 
     private static Optional<WorkspaceSpec> workspace(RouterSnapshot snapshot, @Nullable String authorization) {
-        if (authorization == null || !authorization.startsWith(BEARER)) {
+        if (authorization == null || !authorization.startsWith(BEARER_PREFIX)) {
             return Optional.empty();
         }
-        String key = authorization.substring(BEARER.length()).trim();
+        String key = authorization.substring(BEARER_PREFIX.length()).trim();
         int dot = key.indexOf('.');
         if (dot < 0) {
             return Optional.empty();
@@ -94,14 +95,14 @@
                         RefusalCode.BAD_REQUEST, HeaderNames.PRIORITY + " is interactive, check or batch"));
     }
 
-    @SuppressWarnings("PMD.PreserveStackTrace") // a refusal is an answer, not a fault to trace
+    @SuppressWarnings("PMD.PreserveStackTrace") // a refusal is a response to the caller, so no stack trace is needed
     private static Instant deadline(@Nullable String header, PriorityClass priority, Instant now) {
         if (header == null) {
             return now.plus(priority.patience());
         }
         try {
             long millis = Long.parseLong(header.trim());
-            if (millis > 0 && millis <= MOST_DEADLINE_MILLIS) {
+            if (millis > 0 && millis <= MAX_DEADLINE_MILLIS) {
                 return now.plusMillis(millis);
             }
         } catch (NumberFormatException e) {
@@ -109,6 +110,6 @@
                     RefusalCode.BAD_REQUEST, HeaderNames.DEADLINE + " is not a number: " + e.getMessage());
         }
         throw RefusedException.notRun(
-                RefusalCode.BAD_REQUEST, HeaderNames.DEADLINE + " is 1 to " + MOST_DEADLINE_MILLIS);
+                RefusalCode.BAD_REQUEST, HeaderNames.DEADLINE + " is 1 to " + MAX_DEADLINE_MILLIS);
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerRequest.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerRequest.java
@@ -6,14 +6,14 @@
 import org.radishpass.router.internal.control.RouterSnapshot;
 
 /**
- * What every caller's request has.
+ * Properties common to all authenticated requests of callers.
  *
- * @param id the request, unique in the fleet
- * @param workspace the workspace that asks
- * @param priority its class
- * @param receivedAt when it came in
- * @param deadline when its caller stops waiting
- * @param snapshot the control state that it is served by
+ * @param id the request's ID, unique in the fleet
+ * @param workspace the workspace that sent the request
+ * @param priority the request's priority class
+ * @param receivedAt the time when this router received the request
+ * @param deadline the time when the caller stops waiting
+ * @param snapshot the control state that was current when the request arrived
  * @since 0.1.0
  */
 public record CallerRequest(
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
@@ -20,7 +20,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * The HTTP server that callers, operators and the platform's balancer speak to.
+ * Serves HTTP requests of callers, operators and the platform's load balancer.
  *
  * @since 0.1.0
  */
@@ -30,21 +30,21 @@
     private static final int UNAVAILABLE = 503;
     private static final String PROMETHEUS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-    private final TrafficTools tools;
+    private final TrafficComponents tools;
     private final RouterControl control;
     private final PrometheusMeterRegistry metrics;
     private final ChatHandler chats;
     private final ServiceHandler services;
-    private final TicketDesk tickets;
+    private final TicketService tickets;
     private final DisposableServer server;
 
     CallerServer(
             HttpRuntime runtime,
             String host,
             int port,
-            TrafficTools tools,
-            OnceGuard guard,
-            TicketDesk tickets,
+            TrafficComponents tools,
+            AtMostOnceGuard guard,
+            TicketService tickets,
             RouterControl control,
             PrometheusMeterRegistry metrics) {
         this.tools = tools;
@@ -53,7 +53,7 @@
         this.chats = new ChatHandler(tools);
         this.services = new ServiceHandler(tools, guard, control);
         this.tickets = tickets;
-        control.onTicket(services::passedOn);
+        control.setTicketHandler(services::handleForwarded);
         this.server = runtime.server(host, port)
                 .idleTimeout(Duration.ofSeconds(75))
                 .handle(this::route)
@@ -71,64 +71,65 @@
     private Publisher<Void> route(HttpServerRequest request, HttpServerResponse response) {
         String path = request.path();
         return switch (request.method().name() + " /" + path) {
-            case "POST /v1/chat/completions" -> guarded(request, response, chats::handle);
+            case "POST /v1/chat/completions" -> authenticated(request, response, chats::handle);
             case "POST /v1/tickets" ->
-                guarded(
+                authenticated(
                         request,
                         response,
                         (caller, unread, answer) -> HttpJson.send(
                                 answer,
                                 CREATED,
                                 Map.of("ticket", tickets.issue(caller).text())));
-            case "GET /v1/models" -> guarded(request, response, (caller, unread, answer) -> models(caller, answer));
+            case "GET /v1/models" ->
+                authenticated(request, response, (caller, unread, answer) -> listModels(caller, answer));
             case "GET /healthz" -> HttpJson.send(response, OK, Map.of("status", "alive"));
-            case "GET /readyz" -> ready(response);
+            case "GET /readyz" -> readiness(response);
             case "GET /metrics" ->
                 response.header("Content-Type", PROMETHEUS_TYPE).sendString(Mono.fromCallable(metrics::scrape));
             case "GET /v1/status" -> HttpJson.send(response, OK, status());
-            default -> otherwise(path, request, response);
+            default -> routeByPrefix(path, request, response);
         };
     }
 
-    private Publisher<Void> otherwise(String path, HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> routeByPrefix(String path, HttpServerRequest request, HttpServerResponse response) {
         if (path.startsWith("services/")) {
-            return guarded(request, response, services::handle);
+            return authenticated(request, response, services::handle);
         }
         if (path.startsWith("v1/explain/")) {
             return explain(path.substring("v1/explain/".length()), response);
         }
         Refusal refusal = Refusal.notRun(RefusalCode.NOT_FOUND, "there is no " + request.method() + " /" + path);
-        return tools.refusals().write(response, tools.identity().nextId(), refusal);
+        return tools.refusals().write(response, tools.identity().nextRequestId(), refusal);
     }
 
-    private Publisher<Void> guarded(HttpServerRequest request, HttpServerResponse response, Handler handler) {
+    private Publisher<Void> authenticated(HttpServerRequest request, HttpServerResponse response, Handler handler) {
         CallerRequest caller;
         try {
             caller = tools.identity().identify(request);
         } catch (RefusedException e) {
-            return tools.refusals().write(response, tools.identity().nextId(), e.refusal());
+            return tools.refusals().write(response, tools.identity().nextRequestId(), e.refusal());
         }
-        tools.metrics().started();
+        tools.metrics().requestStarted();
         return Mono.defer(() -> Mono.from(handler.handle(caller, request, response)))
-                .onErrorResume(error -> answerError(caller, error, response))
-                .doFinally(signal -> tools.metrics().ended());
+                .onErrorResume(error -> respondWithError(caller, error, response))
+                .doFinally(signal -> tools.metrics().requestEnded());
     }
 
-    private Mono<Void> answerError(CallerRequest caller, Throwable error, HttpServerResponse response) {
+    private Mono<Void> respondWithError(CallerRequest caller, Throwable error, HttpServerResponse response) {
         if (response.hasSentHeaders()) {
             return Mono.error(error);
         }
         Refusal refusal = RefusalWriter.refusalOf(error);
-        tools.decisions().find(caller.id()).ifPresent(decision -> decision.refused(refusal));
+        tools.decisions().find(caller.id()).ifPresent(decision -> decision.recordRefusal(refusal));
         return Mono.from(tools.refusals().write(response, caller.id(), refusal));
     }
 
-    private Publisher<Void> ready(HttpServerResponse response) {
+    private Publisher<Void> readiness(HttpServerResponse response) {
         boolean ready = control.snapshot().ready();
         return HttpJson.send(response, ready ? OK : UNAVAILABLE, Map.of("ready", ready));
     }
 
-    private Publisher<Void> models(CallerRequest caller, HttpServerResponse response) {
+    private Publisher<Void> listModels(CallerRequest caller, HttpServerResponse response) {
         List<Map<String, String>> models = caller.snapshot().configuration().models().stream()
                 .map(ModelSpec::name)
                 .sorted()
@@ -140,7 +141,7 @@
     private Publisher<Void> explain(String requestId, HttpServerResponse response) {
         return tools.decisions()
                 .find(requestId)
-                .map(decision -> HttpJson.send(response, OK, decision.view()))
+                .map(decision -> HttpJson.send(response, OK, decision.toJsonMap()))
                 .orElseGet(() -> tools.refusals()
                         .write(
                                 response,
@@ -178,7 +179,7 @@
         return status;
     }
 
-    /** Serves a request whose caller is known. */
+    /** Handles a request whose caller has been authenticated. */
     @FunctionalInterface
     private interface Handler {
         Publisher<Void> handle(CallerRequest caller, HttpServerRequest request, HttpServerResponse response);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
@@ -6,9 +6,9 @@
 import org.radishpass.core.outcome.Refusal;
 import org.radishpass.core.outcome.RefusalCode;
 import org.radishpass.records.WorkspaceSpec;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import org.radishpass.router.internal.endpoint.HeaderNames;
 import org.radishpass.router.internal.endpoint.SseEvent;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
 import org.reactivestreams.Publisher;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -17,30 +17,29 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Serves {@code POST /v1/chat/completions}, streamed or whole.
+ * Handles {@code POST /v1/chat/completions} with a streamed or a complete response.
  *
  * @since 0.1.0
  */
 final class ChatHandler {
     private static final String EVENT_STREAM = "text/event-stream";
 
-    private final TrafficTools tools;
+    private final TrafficComponents tools;
 
-    ChatHandler(TrafficTools tools) {
+    ChatHandler(TrafficComponents tools) {
         this.tools = tools;
     }
 
     Publisher<Void> handle(CallerRequest caller, HttpServerRequest request, HttpServerResponse response) {
         String chatId = request.requestHeaders().get(HeaderNames.CHAT_ID);
         String affinity = request.requestHeaders().get(HeaderNames.AFFINITY);
-        return Bodies.read(request).flatMap(body -> {
+        return RequestBodies.read(request).flatMap(body -> {
             ChatPrompt prompt = ChatPrompt.read(body, chatId, affinity);
-            return Mono.from(admitted(caller, prompt, body, response));
+            return Mono.from(admit(caller, prompt, body, response));
         });
     }
 
-    private Publisher<Void> admitted(
-            CallerRequest caller, ChatPrompt prompt, byte[] body, HttpServerResponse response) {
+    private Publisher<Void> admit(CallerRequest caller, ChatPrompt prompt, byte[] body, HttpServerResponse response) {
         WorkspaceSpec workspace = caller.workspace();
         String pool = caller.snapshot()
                 .poolFor(prompt.model())
@@ -50,11 +49,11 @@
                 .tryEnter(
                         workspace.name(),
                         workspace.inFlight(),
-                        caller.snapshot().routers())) {
+                        caller.snapshot().activeRouterCount())) {
             throw RefusedException.notRun(
                     RefusalCode.WORKSPACE_LIMIT, "the workspace has as many requests in progress as it may");
         }
-        PlaceRequest place = new PlaceRequest(
+        PlaceRequest placeRequest = new PlaceRequest(
                 workspace.name(),
                 prompt.chat(),
                 prompt.affinity(),
@@ -66,26 +65,27 @@
                 caller.deadline(),
                 Set.of());
         DecisionLog.Decision decision = tools.decisions().start(caller, pool, prompt.chat());
-        ChatRun run = new ChatRun(caller, place, body, tools, decision);
+        ChatRun run = new ChatRun(caller, placeRequest, body, tools, decision);
         response.header(HeaderNames.REQUEST_ID, caller.id());
-        Publisher<Void> answer =
-                prompt.streamed() ? stream(caller, run, decision, response) : whole(caller, run, decision, response);
-        return Mono.from(answer).doFinally(signal -> tools.gate().leave(workspace.name()));
+        Publisher<Void> result = prompt.streamed()
+                ? respondWithStream(caller, run, decision, response)
+                : respondComplete(caller, run, decision, response);
+        return Mono.from(result).doFinally(signal -> tools.gate().leave(workspace.name()));
     }
 
-    private Publisher<Void> stream(
+    private Publisher<Void> respondWithStream(
             CallerRequest caller, ChatRun run, DecisionLog.Decision decision, HttpServerResponse response) {
-        TokenClock tokens = new TokenClock(caller, tools.metrics());
+        TokenTimer tokenTimer = new TokenTimer(caller, tools.metrics());
         return run.events()
-                .doOnNext(event -> tokens.event())
+                .doOnNext(event -> tokenTimer.onEvent())
                 .doOnComplete(() -> {
                     tools.metrics().answered(caller);
-                    decision.answered();
+                    decision.recordAnswer();
                 })
-                .switchOnFirst((first, events) -> begin(caller, run, decision, first, events, response));
+                .switchOnFirst((first, events) -> startStream(caller, run, decision, first, events, response));
     }
 
-    private Publisher<Void> begin(
+    private Publisher<Void> startStream(
             CallerRequest caller,
             ChatRun run,
             DecisionLog.Decision decision,
@@ -100,26 +100,26 @@
         response.header(HttpHeaderNames.CACHE_CONTROL, "no-cache");
         Flux<byte[]> bytes = events.map(SseEvent::raw).onErrorResume(error -> {
             Refusal refusal = RefusalWriter.refusalOf(error);
-            decision.refused(refusal);
-            byte[] last = tools.refusals().lastEvent(caller.id(), refusal);
-            return Flux.just(last).concatWith(Flux.error(error));
+            decision.recordRefusal(refusal);
+            byte[] errorEvent = tools.refusals().lastEvent(caller.id(), refusal);
+            return Flux.just(errorEvent).concatWith(Flux.error(error));
         });
         return response.send(bytes.map(Unpooled::wrappedBuffer), buffer -> true);
     }
 
-    private Publisher<Void> whole(
+    private Publisher<Void> respondComplete(
             CallerRequest caller, ChatRun run, DecisionLog.Decision decision, HttpServerResponse response) {
-        long started = System.nanoTime();
-        return run.whole().flatMap(answer -> {
-            tools.metrics().wholeAnswer(caller, System.nanoTime() - started);
+        long startNanos = System.nanoTime();
+        return run.completeResponse().flatMap(answer -> {
+            tools.metrics().wholeAnswer(caller, System.nanoTime() - startNanos);
             tools.metrics().answered(caller);
-            decision.answered();
+            decision.recordAnswer();
             run.affinity().ifPresent(token -> response.header(HeaderNames.AFFINITY, token));
             return Mono.from(send(answer, response));
         });
     }
 
-    static Publisher<Void> send(WholeAnswer answer, HttpServerResponse response) {
+    static Publisher<Void> send(CompleteResponse answer, HttpServerResponse response) {
         response.status(answer.status());
         if (answer.contentType() != null) {
             response.header(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
@@ -8,12 +8,12 @@
 import org.radishpass.runtime.http.HttpJson;
 
 /**
- * What the router reads of a chat request.
+ * The properties of a chat request that affect routing.
  *
- * @param model the model as the caller names it
- * @param streamed whether the answer is to be streamed
- * @param chat what tells the chat from others
- * @param affinity the token of the chat's last turn, if the caller brought one
+ * @param model the model's name as the caller wrote it
+ * @param streamed whether the caller requested a streamed response
+ * @param chat the key that identifies the chat: the caller's chat ID or a hash of the first messages
+ * @param affinity the affinity token that the caller received with the chat's last turn, or null
  * @since 0.1.0
  */
 public record ChatPrompt(
@@ -24,12 +24,12 @@
     private static final int OPENING_MESSAGES = 2;
 
     /**
-     * Reads a request's body.
+     * Parses the body of a chat request.
      *
-     * @param body the body
-     * @param chatId the chat as the caller names it, if it does
-     * @param affinity the token of the chat's last turn, if the caller brought one
-     * @throws RefusedException if it is not a chat request
+     * @param body the body, as JSON
+     * @param chatId the caller's ID of the chat, or null
+     * @param affinity the affinity token that the caller received with the chat's last turn, or null
+     * @throws RefusedException if the body is not a valid chat request
      */
     public static ChatPrompt read(byte[] body, @Nullable String chatId, @Nullable String affinity) {
         JsonNode json = parse(body);
@@ -39,11 +39,11 @@
         if (!json.path("messages").isArray() || json.path("messages").isEmpty()) {
             throw RefusedException.notRun(RefusalCode.BAD_REQUEST, "messages is missing; write a list of messages");
         }
-        String chat = chatId != null && !chatId.isBlank() ? chatId : opening(json.path("messages"));
+        String chat = chatId != null && !chatId.isBlank() ? chatId : openingHash(json.path("messages"));
         return new ChatPrompt(json.path("model").asText(), json.path("stream").asBoolean(false), chat, affinity);
     }
 
-    @SuppressWarnings("PMD.PreserveStackTrace") // a refusal is an answer, not a fault to trace
+    @SuppressWarnings("PMD.PreserveStackTrace") // a refusal is a response to the caller, so no stack trace is needed
     private static JsonNode parse(byte[] body) {
         try {
             return HttpJson.parse(body);
@@ -52,8 +52,11 @@
         }
     }
 
-    /** A returning chat repeats its first messages, so their hash names it where the caller does not. */
-    private static String opening(JsonNode messages) {
+    /**
+     * Returns a hash of the first messages, which identifies a chat without a chat ID. Each later turn of the chat
+     * repeats these messages.
+     */
+    private static String openingHash(JsonNode messages) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < Math.min(OPENING_MESSAGES, messages.size()); i++) {
             text.append(messages.get(i)).append('\n');
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatRun.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatRun.java
@@ -9,22 +9,22 @@
 import org.radishpass.core.placement.AffinityToken;
 import org.radishpass.router.internal.endpoint.Attempt;
 import org.radishpass.router.internal.endpoint.AttemptFailure;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import org.radishpass.router.internal.endpoint.EndpointClient;
 import org.radishpass.router.internal.endpoint.SseEvent;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
 /**
- * One chat request on its way through one or more engines.
+ * Executes one chat request at one or more engines.
  *
- * <p>A stream that breaks off goes on at another engine from the first token that the caller has not seen.
+ * <p>If a stream fails, another engine resumes from the first token that the caller has not received.
  *
  * @since 0.1.0
  */
 final class ChatRun {
-    private static final String PATH = "/v1/chat/completions";
-    private static final String JSON = "application/json";
+    private static final String CHAT_PATH = "/v1/chat/completions";
+    private static final String JSON_TYPE = "application/json";
 
     private final CallerRequest request;
     private final PlaceRequest place;
@@ -36,88 +36,93 @@
     private final Clock clock;
     private final DecisionLog.Decision decision;
     private long nextToken;
-    private boolean unnumbered;
-    private volatile @Nullable String servedBy;
+    private boolean hasUnnumberedEvents;
+    private volatile @Nullable String currentEndpointId;
 
-    ChatRun(CallerRequest request, PlaceRequest place, byte[] body, TrafficTools tools, DecisionLog.Decision decision) {
+    ChatRun(
+            CallerRequest request,
+            PlaceRequest place,
+            byte[] body,
+            TrafficComponents tools,
+            DecisionLog.Decision decision) {
         this.request = request;
         this.place = place;
         this.body = body;
         this.placer = tools.placer();
         this.client = tools.client();
-        this.retries = tools.retries().of(request, true);
+        this.retries = tools.retries().create(request, true);
         this.metrics = tools.metrics();
         this.clock = tools.clock();
         this.decision = decision;
     }
 
-    /** Returns the events of the answer, in order, each once. */
+    /** Returns the events of the response in order and without duplicates, across all attempts. */
     Flux<SseEvent> events() {
         return place().flatMapMany(placed -> client.stream(attempt(placed))
-                .filter(this::fresh)
+                .filter(this::isNew)
                 .doFinally(signal -> placer.release(placed))
                 .onErrorResume(AttemptFailure.class, failure -> {
-                    failed(placed, failure);
+                    onFailure(placed, failure);
                     return events();
                 }));
     }
 
-    /** Returns the answer, all of it. */
-    Mono<WholeAnswer> whole() {
+    /** Returns the complete response. */
+    Mono<CompleteResponse> completeResponse() {
         return place().flatMap(placed -> client.call(attempt(placed))
                 .doFinally(signal -> placer.release(placed))
                 .onErrorResume(AttemptFailure.class, failure -> {
-                    failed(placed, failure);
-                    return whole();
+                    onFailure(placed, failure);
+                    return completeResponse();
                 }));
     }
 
-    /** Returns the token of the engine that answers, once there is one. */
+    /** Returns the affinity token of the engine that received the last attempt, or empty before the first attempt. */
     Optional<String> affinity() {
-        return Optional.ofNullable(servedBy)
+        return Optional.ofNullable(currentEndpointId)
                 .map(endpointId -> AffinityToken.of(request.workspace().name(), endpointId));
     }
 
-    private Mono<Placed> place() {
-        return placer.place(place.without(retries.failedAt()), decision)
-                .onErrorMap(RefusedException.class, retries::afterPlacement);
+    private Mono<Placement> place() {
+        return placer.place(place.withExcluded(retries.failedEndpointIds()), decision)
+                .onErrorMap(RefusedException.class, retries::withAttemptsVerdict);
     }
 
-    private Attempt attempt(Placed placed) {
+    private Attempt attempt(Placement placed) {
         metrics.attempt(request);
-        int number = retries.next();
-        servedBy = placed.endpoint().id();
-        decision.attempted(number, placed.endpoint().id(), clock.instant());
+        int number = retries.nextAttemptNumber();
+        currentEndpointId = placed.endpoint().id();
+        decision.recordAttempt(number, placed.endpoint().id(), clock.instant());
         return new Attempt(
                 request.id(),
                 number,
                 placed.endpoint(),
                 "POST",
-                PATH,
-                JSON,
+                CHAT_PATH,
+                JSON_TYPE,
                 body,
                 request.priority(),
                 request.deadline(),
                 nextToken);
     }
 
-    private void failed(Placed placed, AttemptFailure failure) {
-        decision.failed(placed.endpoint().id(), failure);
-        if (unnumbered) {
+    private void onFailure(Placement placed, AttemptFailure failure) {
+        decision.recordFailure(placed.endpoint().id(), failure);
+        if (hasUnnumberedEvents) {
             throw new RefusedException(new Refusal(
                     RefusalCode.ENDPOINT_FAILED,
                     Verdict.RAN,
                     "the stream broke off and its tokens have no numbers to resume from"));
         }
-        retries.failed(placed.endpoint(), failure);
+        retries.onFailure(placed.endpoint(), failure);
     }
 
-    private boolean fresh(SseEvent event) {
-        if (event.last()) {
+    private boolean isNew(SseEvent event) {
+        if (event.endMarker()) {
             return true;
         }
         if (event.id() < 0) {
-            unnumbered = true;
+            hasUnnumberedEvents = true;
             return true;
         }
         if (event.id() < nextToken) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
@@ -11,29 +11,29 @@
 import org.radishpass.router.internal.endpoint.AttemptFailure;
 
 /**
- * Remembers the newest decisions, so that an operator can ask why a request went where it went.
+ * Keeps the placement decisions of the most recent requests, so that operators can look up why an endpoint was chosen.
  *
  * @since 0.1.0
  */
 public final class DecisionLog {
-    private static final int KEPT = 2_000;
-    private static final int MOST_STEPS = 40;
+    private static final int MAX_DECISIONS = 2_000;
+    private static final int MAX_STEPS = 40;
 
     private final Map<String, Decision> newest = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Decision> eldest) {
-            return size() > KEPT;
+            return size() > MAX_DECISIONS;
         }
     };
 
     /**
-     * Starts the account of a request.
+     * Starts recording the decisions for a request.
      *
      * @param request the request
-     * @param pool the pool that serves it
-     * @param chat what it was to stay close to
+     * @param pool the pool that serves the request
+     * @param chat the affinity key, which prefers the same endpoints for requests with the same key
      */
     public Decision start(CallerRequest request, String pool, String chat) {
         Decision decision = new Decision(request, pool, chat);
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Finds the account of a request.
+     * Returns the decisions for a request, or empty if they are not kept or no longer kept.
      *
-     * @param requestId the request
+     * @param requestId the request's ID
      */
     public Optional<Decision> find(String requestId) {
         synchronized (newest) {
@@ -55,65 +55,65 @@
     }
 
     /**
-     * The account of one request.
+     * The recorded decisions for one request.
      *
      * @since 0.1.0
      */
     public static final class Decision implements PlacementTrace {
-        private final Map<String, Object> heading = new LinkedHashMap<>();
+        private final Map<String, Object> requestFields = new LinkedHashMap<>();
         private final List<Map<String, Object>> steps = new ArrayList<>();
         private @Nullable String outcome;
 
         private Decision(CallerRequest request, String pool, String chat) {
-            heading.put("requestId", request.id());
-            heading.put("workspace", request.workspace().name());
-            heading.put("class", request.priority().wireName());
-            heading.put("pool", pool);
-            heading.put("chat", chat);
-            heading.put("revision", request.snapshot().configuration().revision());
-            heading.put("receivedAt", request.receivedAt().toString());
-            heading.put("deadline", request.deadline().toString());
+            requestFields.put("requestId", request.id());
+            requestFields.put("workspace", request.workspace().name());
+            requestFields.put("class", request.priority().wireName());
+            requestFields.put("pool", pool);
+            requestFields.put("chat", chat);
+            requestFields.put("revision", request.snapshot().configuration().revision());
+            requestFields.put("receivedAt", request.receivedAt().toString());
+            requestFields.put("deadline", request.deadline().toString());
         }
 
-        /** Returns the account as it is now, for JSON. */
-        public synchronized Map<String, Object> view() {
-            Map<String, Object> view = new LinkedHashMap<>(heading);
+        /** Returns the decisions recorded so far, as a map to be serialized to JSON. */
+        public synchronized Map<String, Object> toJsonMap() {
+            Map<String, Object> view = new LinkedHashMap<>(requestFields);
             view.put("steps", List.copyOf(steps));
             view.put("outcome", outcome == null ? "in progress" : outcome);
             return view;
         }
 
         @Override
-        public synchronized void asked(String endpointId, SlotOffer offer) {
+        public synchronized void onSlotResult(String endpointId, SlotResult result) {
             add(Map.of(
                     "asked",
                     endpointId,
                     "answer",
-                    offer.answer().name(),
+                    result.answer().name(),
                     "running",
-                    offer.running(),
+                    result.running(),
                     "limit",
-                    offer.limit()));
+                    result.limit()));
         }
 
         /**
-         * Notes an attempt.
+         * Records that an attempt was sent.
          *
-         * @param number counts the attempts
-         * @param endpointId where it went
-         * @param at when
+         * @param number the number of the attempt within the request, from 1
+         * @param endpointId the ID of the endpoint
+         * @param at the time of the attempt
          */
-        public synchronized void attempted(int number, String endpointId, Instant at) {
+        public synchronized void recordAttempt(int number, String endpointId, Instant at) {
             add(Map.of("attempt", number, "endpoint", endpointId, "at", at.toString()));
         }
 
         /**
-         * Notes a failed attempt.
+         * Records that an attempt failed.
          *
-         * @param endpointId where it failed
-         * @param failure how
+         * @param endpointId the ID of the endpoint
+         * @param failure the failure
          */
-        public synchronized void failed(String endpointId, AttemptFailure failure) {
+        public synchronized void recordFailure(String endpointId, AttemptFailure failure) {
             add(Map.of(
                     "failedAt",
                     endpointId,
@@ -123,22 +123,22 @@
                     String.valueOf(failure.getMessage())));
         }
 
-        /** Notes a whole answer. */
-        public synchronized void answered() {
+        /** Records that the request ended with a complete response. */
+        public synchronized void recordAnswer() {
             outcome = "answered";
         }
 
         /**
-         * Notes a refusal.
+         * Records that the request ended in a refusal.
          *
          * @param refusal the refusal
          */
-        public synchronized void refused(Refusal refusal) {
+        public synchronized void recordRefusal(Refusal refusal) {
             outcome = refusal.code() + " " + refusal.verdict() + ": " + refusal.detail();
         }
 
         private void add(Map<String, Object> step) {
-            if (steps.size() < MOST_STEPS) {
+            if (steps.size() < MAX_STEPS) {
                 steps.add(step);
             }
         }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PassiveHealth.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PassiveHealth.java
@@ -8,50 +8,50 @@
 import org.radishpass.core.fleet.Endpoint;
 
 /**
- * Remembers for a moment which endpoints have just failed this router's requests.
+ * Keeps, for a short time, at which endpoints this router's requests have failed, so that placement avoids them.
  *
- * <p>It narrows the choice, and only while at least half of the endpoints are left.
+ * <p>The failing endpoints are avoided only while at least half of the candidates remain.
  *
  * @since 0.1.0
  */
 public final class PassiveHealth {
-    private static final Duration PENALTY = Duration.ofSeconds(2);
+    private static final Duration AVOID_DURATION = Duration.ofSeconds(2);
 
     private final ConcurrentHashMap<String, Instant> avoidUntil = new ConcurrentHashMap<>();
     private final Clock clock;
 
     /**
-     * Creates it.
+     * Creates a record without failures.
      *
-     * @param clock tells the time
+     * @param clock the source of the current time
      */
     public PassiveHealth(Clock clock) {
         this.clock = clock;
     }
 
     /**
-     * Notes a failure.
+     * Records a failure at an endpoint, which is then avoided for a short time.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the ID of the endpoint
      */
-    public void failed(String endpointId) {
-        avoidUntil.put(endpointId, clock.instant().plus(PENALTY));
+    public void recordFailure(String endpointId) {
+        avoidUntil.put(endpointId, clock.instant().plus(AVOID_DURATION));
     }
 
     /**
-     * Returns the endpoints to choose from.
+     * Returns the candidates without recently failing endpoints, or all candidates if fewer than half would remain.
      *
-     * @param endpoints all that are open
+     * @param endpoints the candidates, which are the endpoints that accept requests
      */
-    public List<Endpoint> narrowed(List<Endpoint> endpoints) {
+    public List<Endpoint> withoutFailing(List<Endpoint> endpoints) {
         if (avoidUntil.isEmpty()) {
             return endpoints;
         }
         Instant now = clock.instant();
         avoidUntil.values().removeIf(until -> !until.isAfter(now));
-        List<Endpoint> left = endpoints.stream()
+        List<Endpoint> remaining = endpoints.stream()
                 .filter(endpoint -> !avoidUntil.containsKey(endpoint.id()))
                 .toList();
-        return left.size() * 2 >= endpoints.size() ? left : endpoints;
+        return remaining.size() * 2 >= endpoints.size() ? remaining : endpoints;
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlaceRequest.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlaceRequest.java
@@ -7,18 +7,18 @@
 import org.radishpass.core.load.LoadBound;
 
 /**
- * What is to be placed.
+ * The properties of a request that determine its placement on an endpoint.
  *
- * @param workspace the workspace that asks
- * @param chat what the request should stay close to
- * @param affinity the token of the chat's last turn, if the caller brought one
- * @param pool the pool that serves it
- * @param priority its class
- * @param bound the bound on load
- * @param spread over how many endpoints the workspace's chats are spread; 0 for all
- * @param queued the most requests of the workspace that may wait here
- * @param deadline its deadline
- * @param excluded endpoints that have failed it
+ * @param workspace the name of the workspace that sent the request
+ * @param chat the affinity key, which prefers the same endpoints for requests with the same key
+ * @param affinity the affinity token that the caller received with the chat's last turn, or null
+ * @param pool the pool that serves the request
+ * @param priority the request's priority class
+ * @param bound the bound on an endpoint's load relative to its pool
+ * @param spread the number of endpoints over which the workspace's chats are spread, or 0 for all endpoints
+ * @param maxQueued the maximum number of the workspace's requests that may wait at this router
+ * @param deadline the time when the caller stops waiting
+ * @param excluded the IDs of endpoints at which an attempt of this request has failed
  * @since 0.1.0
  */
 public record PlaceRequest(
@@ -29,21 +29,21 @@
         PriorityClass priority,
         LoadBound bound,
         int spread,
-        int queued,
+        int maxQueued,
         Instant deadline,
         Set<String> excluded) {
-    /** Copies the exclusions. */
+    /** Makes an unmodifiable copy of the excluded IDs. */
     public PlaceRequest {
         excluded = Set.copyOf(excluded);
     }
 
     /**
-     * Returns this request with other exclusions.
+     * Returns a copy of this request with other excluded endpoints.
      *
-     * @param newExcluded endpoints that have failed it
+     * @param newExcluded the IDs of endpoints at which an attempt of this request has failed
      */
-    public PlaceRequest without(Set<String> newExcluded) {
+    public PlaceRequest withExcluded(Set<String> newExcluded) {
         return new PlaceRequest(
-                workspace, chat, affinity, pool, priority, bound, spread, queued, deadline, newExcluded);
+                workspace, chat, affinity, pool, priority, bound, spread, maxQueued, deadline, newExcluded);
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlacementTrace.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlacementTrace.java
@@ -1,17 +1,17 @@
 package org.radishpass.router.internal.traffic;
 
 /**
- * Is told how a request's endpoint was chosen.
+ * Receives the steps of choosing an endpoint for a request.
  *
  * @since 0.1.0
  */
 @FunctionalInterface
 public interface PlacementTrace {
     /**
-     * Learns of an endpoint that was asked.
+     * Called after each request for a slot.
      *
-     * @param endpointId the endpoint
-     * @param offer what came of it
+     * @param endpointId the ID of the endpoint
+     * @param result the result of the slot request
      */
-    void asked(String endpointId, SlotOffer offer);
+    void onSlotResult(String endpointId, SlotResult result);
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
@@ -17,18 +17,18 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Finds an endpoint for a request and holds a slot there.
+ * Chooses an endpoint for a request and reserves a slot there.
  *
  * @since 0.1.0
  */
 public final class Placer {
-    private static final int MOST_TRIES = 16;
-    private static final int FIRST_PAUSE_MILLIS = 15;
-    private static final int MOST_PAUSE_MILLIS = 200;
+    private static final int MAX_CANDIDATES = 16;
+    private static final int INITIAL_BACKOFF_MILLIS = 15;
+    private static final int MAX_BACKOFF_MILLIS = 200;
 
     private final AtomicLong sequence = new AtomicLong();
-    private final ConcurrentHashMap<String, AtomicInteger> waiting = new ConcurrentHashMap<>();
-    private final DenialMemory denials;
+    private final ConcurrentHashMap<String, AtomicInteger> waitingByWorkspace = new ConcurrentHashMap<>();
+    private final RecentDenials denials;
     private final RouterControl control;
     private final SlotClient slots;
     private final PassiveHealth health;
@@ -38,38 +38,39 @@
      * Creates a placer.
      *
      * @param control the router's control state
-     * @param slots reserves slots
-     * @param health what has just failed
-     * @param clock tells the time
+     * @param slots reserves and releases slots
+     * @param health the endpoints at which requests recently failed
+     * @param clock the source of the current time
      */
     public Placer(RouterControl control, SlotClient slots, PassiveHealth health, Clock clock) {
         this.control = control;
         this.slots = slots;
         this.health = health;
         this.clock = clock;
-        this.denials = new DenialMemory(clock);
+        this.denials = new RecentDenials(clock);
     }
 
     /**
-     * Places a request; it ends in a {@link RefusedException} if there is no room by the deadline.
+     * Places a request, and retries with increasing pauses while no endpoint has a free slot.
      *
-     * @param request what is to be placed
-     * @param trace is told of each endpoint that was asked
+     * @param request the request to place
+     * @param trace receives the result of each slot request
+     * @return the placement, or a {@link RefusedException} if no slot becomes free by the deadline
      */
-    public Mono<Placed> place(PlaceRequest request, PlacementTrace trace) {
-        return Mono.defer(() -> round(request, trace, FIRST_PAUSE_MILLIS));
+    public Mono<Placement> place(PlaceRequest request, PlacementTrace trace) {
+        return Mono.defer(() -> placeOrRetry(request, trace, INITIAL_BACKOFF_MILLIS));
     }
 
     /**
-     * Gives up a place.
+     * Releases the slot of a placement.
      *
-     * @param placed the place
+     * @param placement the placement
      */
-    public void release(Placed placed) {
-        slots.release(placed.slotId(), placed.endpoint());
+    public void release(Placement placement) {
+        slots.release(placement.slotId(), placement.endpoint());
     }
 
-    private Mono<Placed> round(PlaceRequest request, PlacementTrace trace, int pauseMillis) {
+    private Mono<Placement> placeOrRetry(PlaceRequest request, PlacementTrace trace, int pauseMillis) {
         RouterSnapshot snapshot = control.snapshot();
         PlacementPolicy policy = snapshot.configuration().policy();
         List<Endpoint> ranked = rank(policy, request, snapshot);
@@ -80,13 +81,14 @@
         if (!policy.bounded()) {
             Endpoint first = ranked.get(0);
             slots.startedWithoutSlot(first);
-            return Mono.just(new Placed(first, slots.nextSlotId()));
+            return Mono.just(new Placement(first, slots.nextSlotId()));
         }
-        return tryFrom(0, ranked, request, trace).switchIfEmpty(Mono.defer(() -> later(request, trace, pauseMillis)));
+        return tryFrom(0, ranked, request, trace)
+                .switchIfEmpty(Mono.defer(() -> retryLater(request, trace, pauseMillis)));
     }
 
     private List<Endpoint> rank(PlacementPolicy policy, PlaceRequest request, RouterSnapshot snapshot) {
-        List<Endpoint> open = health.narrowed(snapshot.fleet().open(request.pool()));
+        List<Endpoint> open = health.withoutFailing(snapshot.fleet().open(request.pool()));
         if (!request.excluded().isEmpty()) {
             open = open.stream()
                     .filter(endpoint -> !request.excluded().contains(endpoint.id()))
@@ -98,45 +100,45 @@
                 request.chat(),
                 request.spread(),
                 request.affinity(),
-                MOST_TRIES,
+                MAX_CANDIDATES,
                 control::reportedLoad,
                 sequence.getAndIncrement(),
                 ThreadLocalRandom.current()));
     }
 
-    private Mono<Placed> tryFrom(int index, List<Endpoint> ranked, PlaceRequest request, PlacementTrace trace) {
-        if (index >= Math.min(ranked.size(), MOST_TRIES)) {
+    private Mono<Placement> tryFrom(int index, List<Endpoint> ranked, PlaceRequest request, PlacementTrace trace) {
+        if (index >= Math.min(ranked.size(), MAX_CANDIDATES)) {
             return Mono.empty();
         }
         Endpoint endpoint = ranked.get(index);
         long slotId = slots.nextSlotId();
-        return slots.reserve(slotId, endpoint, request).flatMap(offer -> {
-            trace.asked(endpoint.id(), offer);
-            if (offer.mayGo()) {
-                return Mono.just(new Placed(endpoint, slotId));
+        return slots.reserve(slotId, endpoint, request).flatMap(result -> {
+            trace.onSlotResult(endpoint.id(), result);
+            if (result.allowsSending()) {
+                return Mono.just(new Placement(endpoint, slotId));
             }
-            denials.note(endpoint, request, offer);
-            if (offer.answer() == SlotAnswer.CLOSED) {
-                health.failed(endpoint.id());
+            denials.recordResult(endpoint, request, result);
+            if (result.answer() == SlotAnswer.CLOSED) {
+                health.recordFailure(endpoint.id());
             }
             return tryFrom(index + 1, ranked, request, trace);
         });
     }
 
-    private Mono<Placed> later(PlaceRequest request, PlacementTrace trace, int pauseMillis) {
-        Duration left = Duration.between(clock.instant(), request.deadline());
-        if (left.toMillis() <= pauseMillis) {
+    private Mono<Placement> retryLater(PlaceRequest request, PlacementTrace trace, int pauseMillis) {
+        Duration timeLeft = Duration.between(clock.instant(), request.deadline());
+        if (timeLeft.toMillis() <= pauseMillis) {
             return Mono.error(RefusedException.notRun(RefusalCode.OVERLOADED, "no endpoint had room by the deadline"));
         }
-        AtomicInteger count = waiting.computeIfAbsent(request.workspace(), name -> new AtomicInteger());
-        if (count.incrementAndGet() > request.queued()) {
-            count.decrementAndGet();
+        AtomicInteger waiting = waitingByWorkspace.computeIfAbsent(request.workspace(), name -> new AtomicInteger());
+        if (waiting.incrementAndGet() > request.maxQueued()) {
+            waiting.decrementAndGet();
             return Mono.error(RefusedException.notRun(
                     RefusalCode.OVERLOADED, "no endpoint has room and the workspace's queue is full"));
         }
-        int jittered = pauseMillis / 2 + ThreadLocalRandom.current().nextInt(pauseMillis);
-        return Mono.delay(Duration.ofMillis(jittered))
-                .doFinally(signal -> count.decrementAndGet())
-                .flatMap(tick -> round(request, trace, Math.min(MOST_PAUSE_MILLIS, pauseMillis * 2)));
+        int jitteredMillis = pauseMillis / 2 + ThreadLocalRandom.current().nextInt(pauseMillis);
+        return Mono.delay(Duration.ofMillis(jitteredMillis))
+                .doFinally(signal -> waiting.decrementAndGet())
+                .flatMap(tick -> placeOrRetry(request, trace, Math.min(MAX_BACKOFF_MILLIS, pauseMillis * 2)));
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
@@ -14,7 +14,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Writes refusals as JSON with the stable code, the verdict and the time to come back.
+ * Writes refusals as JSON, with their stable code and verdict and a {@code Retry-After} header.
  *
  * @since 0.1.0
  */
@@ -26,31 +26,31 @@
     /**
      * Creates a writer.
      *
-     * @param metrics counts the refusals
+     * @param metrics counts the written refusals
      */
     public RefusalWriter(TrafficMetrics metrics) {
         this.metrics = metrics;
     }
 
     /**
-     * Returns the refusal that an error stands for.
+     * Returns the refusal that reports an error to the caller. Unexpected errors are logged.
      *
-     * @param error the error
+     * @param error the error that ended the request
      */
     public static Refusal refusalOf(Throwable error) {
         if (error instanceof RefusedException refused) {
             return refused.refusal();
         }
-        LOG.error("a request failed in a way that was not foreseen", error);
+        LOG.error("a request failed with an unexpected error; it is refused as possibly run", error);
         return new Refusal(RefusalCode.ENDPOINT_FAILED, Verdict.MAY_HAVE_RUN, "the router failed");
     }
 
     /**
-     * Writes a refusal.
+     * Sends a refusal as the response to a request.
      *
-     * @param response the answer
-     * @param requestId the request
-     * @param refusal the refusal
+     * @param response the HTTP response to write
+     * @param requestId the ID of the request
+     * @param refusal the refusal to write
      */
     public Publisher<Void> write(HttpServerResponse response, String requestId, Refusal refusal) {
         metrics.refused(refusal);
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Returns the last event of a stream that breaks off.
+     * Returns the error event that ends a stream which failed after its first event.
      *
-     * @param requestId the request
-     * @param refusal why
+     * @param requestId the ID of the request
+     * @param refusal the reason for the failure
      */
     public byte[] lastEvent(String requestId, Refusal refusal) {
         metrics.refused(refusal);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusedException.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusedException.java
@@ -4,7 +4,7 @@
 import org.radishpass.core.outcome.RefusalCode;
 
 /**
- * Ends a request with a refusal.
+ * Thrown to end a request with a refusal.
  *
  * @since 0.1.0
  */
@@ -14,9 +14,9 @@
     private final transient Refusal refusal;
 
     /**
-     * Creates it.
+     * Creates an exception without a stack trace.
      *
-     * @param refusal the refusal
+     * @param refusal the refusal to send to the caller
      */
     public RefusedException(Refusal refusal) {
         super(refusal.detail(), null, false, false);
@@ -24,16 +24,16 @@
     }
 
     /**
-     * Returns a refusal of a request that provably did not run.
+     * Returns an exception that refuses a request which certainly did not run.
      *
-     * @param code the stable code
-     * @param detail one sentence for people
+     * @param code the stable error code
+     * @param detail a description for the caller
      */
     public static RefusedException notRun(RefusalCode code, String detail) {
         return new RefusedException(Refusal.notRun(code, detail));
     }
 
-    /** Returns the refusal. */
+    /** Returns the refusal to send to the caller. */
     public Refusal refusal() {
         return refusal;
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Bodies.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RequestBodies.java
@@ -7,26 +7,26 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * Reads the bodies of callers' requests, up to a bound.
+ * Reads the bodies of callers' requests, up to a maximum size.
  *
  * @since 0.1.0
  */
-final class Bodies {
-    static final int MOST_BYTES = 4 * 1024 * 1024;
+final class RequestBodies {
+    static final int MAX_BYTES = 4 * 1024 * 1024;
 
-    private Bodies() {
-        // static methods only
+    private RequestBodies() {
+        // not instantiable
     }
 
     static Mono<byte[]> read(HttpServerRequest request) {
         return request.receive()
-                .reduceWith(ByteArrayOutputStream::new, Bodies::append)
+                .reduceWith(ByteArrayOutputStream::new, RequestBodies::append)
                 .map(ByteArrayOutputStream::toByteArray);
     }
 
     private static ByteArrayOutputStream append(ByteArrayOutputStream body, ByteBuf next) {
-        if (body.size() + next.readableBytes() > MOST_BYTES) {
-            throw RefusedException.notRun(RefusalCode.TOO_LARGE, "the body is larger than " + MOST_BYTES + " bytes");
+        if (body.size() + next.readableBytes() > MAX_BYTES) {
+            throw RefusedException.notRun(RefusalCode.TOO_LARGE, "the body is larger than " + MAX_BYTES + " bytes");
         }
         byte[] bytes = new byte[next.readableBytes()];
         next.readBytes(bytes);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Retries.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Retries.java
@@ -12,16 +12,16 @@
 import org.radishpass.router.internal.endpoint.AttemptFailure;
 
 /**
- * The attempts at one request: how many there were, where, and whether there may be another.
+ * Tracks the attempts of one request and decides whether the request may be retried.
  *
- * <p>Used by one request at a time; its steps follow one another.
+ * <p>Not thread-safe: the steps of the request must not overlap.
  *
  * @since 0.1.0
  */
 public final class Retries {
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
-    private final Set<String> failedAt = new HashSet<>();
+    private final Set<String> failedEndpointIds = new HashSet<>();
     private final CallerRequest request;
     private final boolean idempotent;
     private final RetryBudget budget;
@@ -38,8 +38,8 @@
         this.clock = clock;
     }
 
-    /** Returns the number of the next attempt, counting it. */
-    public int next() {
+    /** Counts a new attempt and returns its number, from 1. */
+    public int nextAttemptNumber() {
         attempts++;
         if (attempts == 1) {
             budget.firstAttempt();
@@ -47,24 +47,24 @@
         return attempts;
     }
 
-    /** Returns the endpoints where an attempt has failed. */
-    public Set<String> failedAt() {
-        return failedAt;
+    /** Returns the IDs of the endpoints at which an attempt has failed. */
+    public Set<String> failedEndpointIds() {
+        return failedEndpointIds;
     }
 
     /**
-     * Takes a failed attempt and decides whether there may be another.
+     * Records a failed attempt and returns normally if the request may be retried.
      *
-     * @param endpoint where it failed
-     * @param failure how
-     * @throws RefusedException if there may be no other; it says what is true of all attempts
+     * @param endpoint the endpoint of the failed attempt
+     * @param failure the failure
+     * @throws RefusedException if no retry is allowed; its verdict combines the verdicts of all attempts
      */
-    public void failed(Endpoint endpoint, AttemptFailure failure) {
-        failedAt.add(endpoint.id());
-        health.failed(endpoint.id());
+    public void onFailure(Endpoint endpoint, AttemptFailure failure) {
+        failedEndpointIds.add(endpoint.id());
+        health.recordFailure(endpoint.id());
         verdict = verdict.and(failure.verdict());
         boolean timeLeft = clock.instant().isBefore(request.deadline());
-        if (!failure.verdict().allowsRetry(idempotent) || attempts >= MOST_ATTEMPTS || !timeLeft) {
+        if (!failure.verdict().allowsRetry(idempotent) || attempts >= MAX_ATTEMPTS || !timeLeft) {
             throw refusal(failure);
         }
         if (!budget.tryRetry()) {
@@ -73,13 +73,14 @@
     }
 
     /**
-     * Returns what is true of a request whose next placement was refused.
+     * Returns the refusal for a request whose next placement was refused. Its verdict also covers the earlier attempts.
      *
      * @param refused the refusal of the placement
      */
-    public RefusedException afterPlacement(RefusedException refused) {
-        Refusal last = refused.refusal();
-        return new RefusedException(new Refusal(last.code(), verdict.and(last.verdict()), last.detail()));
+    public RefusedException withAttemptsVerdict(RefusedException refused) {
+        Refusal placementRefusal = refused.refusal();
+        return new RefusedException(new Refusal(
+                placementRefusal.code(), verdict.and(placementRefusal.verdict()), placementRefusal.detail()));
     }
 
     private RefusedException refusal(AttemptFailure failure) {
@@ -88,38 +89,38 @@
     }
 
     /**
-     * Makes the retries of requests, with a budget for each workspace.
+     * Creates the retry state of requests and keeps one retry budget per workspace.
      *
      * @since 0.1.0
      */
-    public static final class Source {
-        private static final int MOST_SAVED = 20;
+    public static final class Factory {
+        private static final int MAX_SAVED_RETRIES = 20;
 
         private final ConcurrentHashMap<String, RetryBudget> budgets = new ConcurrentHashMap<>();
         private final PassiveHealth health;
         private final Clock clock;
 
         /**
-         * Creates a source.
+         * Creates a factory.
          *
-         * @param health learns of failures
-         * @param clock tells the time
+         * @param health records the failures at endpoints
+         * @param clock the source of the current time
          */
-        public Source(PassiveHealth health, Clock clock) {
+        public Factory(PassiveHealth health, Clock clock) {
             this.health = health;
             this.clock = clock;
         }
 
         /**
-         * Returns the retries of a request.
+         * Creates the retry state of a request.
          *
          * @param request the request
-         * @param idempotent whether running it twice does no harm
+         * @param idempotent whether the request may safely run more than once
          */
-        public Retries of(CallerRequest request, boolean idempotent) {
+        public Retries create(CallerRequest request, boolean idempotent) {
             RetryBudget budget = budgets.computeIfAbsent(
                     request.workspace().name(),
-                    name -> new RetryBudget(request.snapshot().configuration().retryRatio(), MOST_SAVED));
+                    name -> new RetryBudget(request.snapshot().configuration().retryRatio(), MAX_SAVED_RETRIES));
             return new Retries(request, idempotent, budget, health, clock);
         }
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
@@ -10,7 +10,7 @@
 import org.radishpass.tables.once.ClaimStore;
 
 /**
- * The traffic side of a router, put together.
+ * Creates and connects the components that serve callers' requests.
  *
  * @since 0.1.0
  */
@@ -19,14 +19,14 @@
     private final CallerServer server;
 
     /**
-     * Creates it and listens for callers.
+     * Creates the components and begins to listen for callers.
      *
      * @param settings the router's settings
-     * @param runtime event loops and clients
+     * @param runtime the event loops and HTTP client for callers' requests
      * @param control the router's control state
-     * @param claims claims of non-idempotent requests
-     * @param metrics where metrics are kept
-     * @param clock tells the time
+     * @param claims the store of claims on idempotency keys
+     * @param metrics the registry for metrics
+     * @param clock the source of the current time
      */
     public RouterTraffic(
             RouterSettings settings,
@@ -38,34 +38,34 @@
         this.trafficMetrics = new TrafficMetrics(metrics);
         PassiveHealth health = new PassiveHealth(clock);
         SlotClient slots = new SlotClient(control, clock);
-        TrafficTools tools = new TrafficTools(
+        TrafficComponents tools = new TrafficComponents(
                 new Placer(control, slots, health, clock),
                 new EndpointClient(runtime.client(), clock),
-                new Retries.Source(health, clock),
+                new Retries.Factory(health, clock),
                 new WorkspaceGate(),
                 trafficMetrics,
                 new RefusalWriter(trafficMetrics),
                 new DecisionLog(),
                 new CallerIdentity(control, clock),
                 clock);
-        TicketDesk tickets = new TicketDesk(control, clock);
+        TicketService tickets = new TicketService(control, clock);
         this.server = new CallerServer(
                 runtime,
                 settings.listen(),
                 settings.port(),
                 tools,
-                new OnceGuard(claims, tickets, clock),
+                new AtMostOnceGuard(claims, tickets, clock),
                 tickets,
                 control,
                 metrics);
     }
 
-    /** Returns the port for callers. */
+    /** Returns the port that callers connect to. */
     public int port() {
         return server.port();
     }
 
-    /** Returns the requests in progress. */
+    /** Returns the number of requests in progress. */
     public int inProgress() {
         return trafficMetrics.inProgress();
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceCall.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceCall.java
@@ -3,15 +3,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call of a plain service.
+ * A caller's HTTP call of a plain service, which is a service that is not a language model.
  *
- * @param service the service
+ * @param service the name of the service
  * @param method the HTTP method
  * @param path the path and query at the service
- * @param contentType the type of the body, if it has one
- * @param body the body
- * @param idempotent whether running it twice does no harm
- * @param key the caller's idempotency key, if it sent one
+ * @param contentType the media type of the body, or null
+ * @param body the request body
+ * @param idempotent whether the call may safely run more than once
+ * @param key the caller's idempotency key, or null
  * @since 0.1.0
  */
 record ServiceCall(
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
@@ -2,11 +2,12 @@
 
 import org.radishpass.router.internal.endpoint.Attempt;
 import org.radishpass.router.internal.endpoint.AttemptFailure;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import reactor.core.publisher.Mono;
 
 /**
- * One call of a plain service on its way. A non-idempotent one is sent again only if it provably did not run.
+ * Executes one call of a plain service. A non-idempotent call is retried only if the previous attempt certainly did not
+ * run.
  *
  * @since 0.1.0
  */
@@ -14,7 +15,7 @@
     private final CallerRequest request;
     private final PlaceRequest place;
     private final ServiceCall call;
-    private final TrafficTools tools;
+    private final TrafficComponents tools;
     private final Retries retries;
     private final DecisionLog.Decision decision;
 
@@ -22,35 +23,35 @@
             CallerRequest request,
             PlaceRequest place,
             ServiceCall call,
-            TrafficTools tools,
+            TrafficComponents tools,
             DecisionLog.Decision decision) {
         this.request = request;
         this.place = place;
         this.call = call;
         this.tools = tools;
-        this.retries = tools.retries().of(request, call.idempotent());
+        this.retries = tools.retries().create(request, call.idempotent());
         this.decision = decision;
     }
 
-    /** Returns the answer; it ends in a {@link RefusedException} if there is none. */
-    Mono<WholeAnswer> answer() {
+    /** Executes the call and returns the complete response, or a {@link RefusedException} if all attempts fail. */
+    Mono<CompleteResponse> response() {
         return tools.placer()
-                .place(place.without(retries.failedAt()), decision)
-                .onErrorMap(RefusedException.class, retries::afterPlacement)
+                .place(place.withExcluded(retries.failedEndpointIds()), decision)
+                .onErrorMap(RefusedException.class, retries::withAttemptsVerdict)
                 .flatMap(placed -> tools.client()
                         .call(attempt(placed))
                         .doFinally(signal -> tools.placer().release(placed))
                         .onErrorResume(AttemptFailure.class, failure -> {
-                            decision.failed(placed.endpoint().id(), failure);
-                            retries.failed(placed.endpoint(), failure);
-                            return answer();
+                            decision.recordFailure(placed.endpoint().id(), failure);
+                            retries.onFailure(placed.endpoint(), failure);
+                            return response();
                         }));
     }
 
-    private Attempt attempt(Placed placed) {
+    private Attempt attempt(Placement placed) {
         tools.metrics().attempt(request);
-        int number = retries.next();
-        decision.attempted(number, placed.endpoint().id(), tools.clock().instant());
+        int number = retries.nextAttemptNumber();
+        decision.recordAttempt(number, placed.endpoint().id(), tools.clock().instant());
         return new Attempt(
                 request.id(),
                 number,
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
@@ -20,19 +20,19 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Reserves and frees slots with the owners of endpoints.
+ * Reserves and releases slots at the routers that own the endpoints.
  *
- * <p>When an owner does not answer in time the router goes by the bound on its own part of the traffic.
+ * <p>If an owner does not reply in time, the router applies the load bound to its own share of the traffic instead.
  *
  * @since 0.1.0
  */
 public final class SlotClient {
-    private static final Duration OWNER_PATIENCE = Duration.ofMillis(250);
-    private static final Duration LAPSE_MARGIN = Duration.ofSeconds(30);
+    private static final Duration OWNER_TIMEOUT = Duration.ofMillis(250);
+    private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(30);
 
-    private final ConcurrentHashMap<Long, Held> held = new ConcurrentHashMap<>();
-    private final AtomicLong lastSlot = new AtomicLong();
-    private final SliverBound own = new SliverBound();
+    private final ConcurrentHashMap<Long, HeldSlot> held = new ConcurrentHashMap<>();
+    private final AtomicLong lastSlotId = new AtomicLong();
+    private final SliverBound ownLoad = new SliverBound();
     private final RouterControl control;
     private final Clock clock;
 
@@ -40,61 +40,61 @@
      * Creates a client.
      *
      * @param control the router's control state
-     * @param clock tells the time
+     * @param clock the source of the current time
      */
     public SlotClient(RouterControl control, Clock clock) {
         this.control = control;
         this.clock = clock;
-        control.onFleetChange(this::tellNewOwners);
+        control.onFleetChange(this::announceToNewOwners);
     }
 
-    /** Returns the number of a slot that no other slot of this router has. */
+    /** Returns a new slot ID, unique within this router. */
     public long nextSlotId() {
-        return lastSlot.incrementAndGet();
+        return lastSlotId.incrementAndGet();
     }
 
     /**
-     * Asks for a slot.
+     * Requests a slot at an endpoint from the endpoint's owner.
      *
-     * @param slotId the slot
+     * @param slotId the ID of the new slot
      * @param endpoint the endpoint
-     * @param request what is to be placed
+     * @param request the request to place
      */
-    public Mono<SlotOffer> reserve(long slotId, Endpoint endpoint, PlaceRequest request) {
+    public Mono<SlotResult> reserve(long slotId, Endpoint endpoint, PlaceRequest request) {
         RouterSnapshot snapshot = control.snapshot();
         Optional<Vm> owner = snapshot.owner(endpoint.id());
-        Instant lapse = request.deadline().plus(LAPSE_MARGIN);
+        Instant expiresAt = request.deadline().plus(EXPIRY_MARGIN);
         PeerMessage.SlotWanted wanted = new PeerMessage.SlotWanted(
                 slotId,
                 endpoint.id(),
                 request.pool(),
                 request.priority(),
                 (float) request.bound().multiple(),
-                millisUntil(lapse));
+                millisUntil(expiresAt));
         return ask(owner, wanted)
-                .map(reply -> new SlotOffer(reply.answer(), reply.running(), reply.limit()))
-                .onErrorReturn(SlotOffer.UNCONFIRMED)
-                .map(offer -> settle(offer, slotId, endpoint, request, owner, lapse));
+                .map(reply -> new SlotResult(reply.answer(), reply.running(), reply.limit()))
+                .onErrorReturn(SlotResult.UNCONFIRMED)
+                .map(result -> applyResult(result, slotId, endpoint, request, owner, expiresAt));
     }
 
     /**
-     * Notes a request that goes out without a slot, so that this router's own part stays known.
+     * Counts a request that is sent without a slot, so that this router's own load at each endpoint stays correct.
      *
-     * @param endpoint the endpoint
+     * @param endpoint the endpoint that receives the request
      */
     public void startedWithoutSlot(Endpoint endpoint) {
-        own.started(endpoint.id());
+        ownLoad.started(endpoint.id());
     }
 
     /**
-     * Frees a slot, or ends a request that has none.
+     * Counts a request as ended and releases its slot, if a slot is held.
      *
-     * @param slotId the slot
-     * @param endpoint the endpoint
+     * @param slotId the ID of the slot
+     * @param endpoint the endpoint that received the request
      */
     public void release(long slotId, Endpoint endpoint) {
-        own.ended(endpoint.id());
-        Held slot = held.remove(slotId);
+        ownLoad.ended(endpoint.id());
+        HeldSlot slot = held.remove(slotId);
         if (slot == null) {
             return;
         }
@@ -102,12 +102,12 @@
     }
 
     /**
-     * Returns this router's own requests at an endpoint.
+     * Returns the number of this router's own requests that run at an endpoint.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the ID of the endpoint
      */
     public int running(String endpointId) {
-        return own.running(endpointId);
+        return ownLoad.running(endpointId);
     }
 
     private Mono<PeerMessage.SlotReply> ask(Optional<Vm> owner, PeerMessage.SlotWanted wanted) {
@@ -115,43 +115,48 @@
             return Mono.error(new IllegalStateException("no owner is known"));
         }
         Mono<PeerMessage> answer = owner.get().id().equals(control.id())
-                ? control.reserveHere(wanted)
-                : control.peers().request(owner.get(), wanted, OWNER_PATIENCE);
+                ? control.reserveLocally(wanted)
+                : control.peers().request(owner.get(), wanted, OWNER_TIMEOUT);
         return answer.cast(PeerMessage.SlotReply.class);
     }
 
-    private SlotOffer settle(
-            SlotOffer offer, long slotId, Endpoint endpoint, PlaceRequest request, Optional<Vm> owner, Instant lapse) {
-        boolean unconfirmed = offer.answer() == SlotAnswer.UNCONFIRMED;
-        if (unconfirmed && !allowedByOwnPart(endpoint, request)) {
+    private SlotResult applyResult(
+            SlotResult result,
+            long slotId,
+            Endpoint endpoint,
+            PlaceRequest request,
+            Optional<Vm> owner,
+            Instant expiresAt) {
+        boolean unconfirmed = result.answer() == SlotAnswer.UNCONFIRMED;
+        if (unconfirmed && !allowedByOwnLoad(endpoint, request)) {
             owner.ifPresent(vm -> free(vm, slotId, endpoint));
-            return SlotOffer.OVER_OWN_BOUND;
+            return SlotResult.OVER_OWN_BOUND;
         }
-        if (offer.mayGo()) {
-            own.started(endpoint.id());
+        if (result.allowsSending()) {
+            ownLoad.started(endpoint.id());
             String ownerId = owner.map(Vm::id).orElse("");
-            held.put(slotId, new Held(endpoint.id(), request.priority(), lapse, ownerId));
+            held.put(slotId, new HeldSlot(endpoint.id(), request.priority(), expiresAt, ownerId));
         }
-        return offer;
+        return result;
     }
 
     private void free(Vm owner, long slotId, Endpoint endpoint) {
         PeerMessage.SlotFreed freed = new PeerMessage.SlotFreed(slotId, endpoint.id());
         if (owner.id().equals(control.id())) {
-            control.releaseHere(freed);
+            control.releaseLocally(freed);
         } else {
             control.peers().send(owner, freed);
         }
     }
 
-    private boolean allowedByOwnPart(Endpoint endpoint, PlaceRequest request) {
+    private boolean allowedByOwnLoad(Endpoint endpoint, PlaceRequest request) {
         List<Endpoint> open = control.snapshot().fleet().open(request.pool());
-        PoolLoad part = PoolLoad.NONE;
+        PoolLoad ownPoolLoad = PoolLoad.NONE;
         for (Endpoint member : open) {
-            part = part.plus(new PoolLoad(own.running(member.id()), member.weight()));
+            ownPoolLoad = ownPoolLoad.plus(new PoolLoad(ownLoad.running(member.id()), member.weight()));
         }
         LoadBound bound = request.bound();
-        return own.allows(endpoint.id(), endpoint.weight(), part, bound);
+        return ownLoad.allows(endpoint.id(), endpoint.weight(), ownPoolLoad, bound);
     }
 
     private int millisUntil(Instant deadline) {
@@ -159,29 +164,29 @@
         return (int) Math.max(0, Math.min(left, Integer.MAX_VALUE));
     }
 
-    private void tellNewOwners() {
+    private void announceToNewOwners() {
         RouterSnapshot snapshot = control.snapshot();
         held.forEach((slotId, slot) -> snapshot.owner(slot.endpointId()).ifPresent(owner -> {
             if (!owner.id().equals(slot.ownerId())) {
-                held.replace(slotId, slot, slot.with(owner.id()));
-                tell(owner, slotId, slot);
+                held.replace(slotId, slot, slot.withOwner(owner.id()));
+                announce(owner, slotId, slot);
             }
         }));
     }
 
-    private void tell(Vm owner, long slotId, Held slot) {
+    private void announce(Vm owner, long slotId, HeldSlot slot) {
         PeerMessage.SlotHeld message =
-                new PeerMessage.SlotHeld(slotId, slot.endpointId(), slot.priority(), millisUntil(slot.lapse()));
+                new PeerMessage.SlotHeld(slotId, slot.endpointId(), slot.priority(), millisUntil(slot.expiresAt()));
         if (owner.id().equals(control.id())) {
-            control.adoptHere(message);
+            control.adoptLocally(message);
         } else {
             control.peers().send(owner, message);
         }
     }
 
-    private record Held(String endpointId, PriorityClass priority, Instant lapse, String ownerId) {
-        private Held with(String newOwnerId) {
-            return new Held(endpointId, priority, lapse, newOwnerId);
+    private record HeldSlot(String endpointId, PriorityClass priority, Instant expiresAt, String ownerId) {
+        private HeldSlot withOwner(String newOwnerId) {
+            return new HeldSlot(endpointId, priority, expiresAt, newOwnerId);
         }
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketDesk.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketService.java
@@ -13,30 +13,31 @@
 import org.radishpass.core.outcome.Verdict;
 import org.radishpass.peer.message.PeerMessage;
 import org.radishpass.router.internal.control.RouterControl;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import reactor.core.publisher.Mono;
 
 /**
- * Gives tickets out and lets each be used once, without the store.
+ * Issues tickets, which are idempotency keys that work without the store, and runs the request of each at most once.
  *
- * <p>A ticket names the start of the router that alone may run its request. Any other router passes the request on to
- * it; if it cannot be reached or is gone, the request may have run and is not run again.
+ * <p>A ticket contains the ID and incarnation of the router that issued the ticket. Only that incarnation may run the
+ * request; other routers forward the request to the issuer. If the issuer is unreachable or has restarted, the request
+ * may have run and is not run again.
  *
  * @since 0.1.0
  */
-final class TicketDesk {
-    private static final int MOST_BY_WORKSPACE = 2_000;
+final class TicketService {
+    private static final int MAX_TICKETS_PER_WORKSPACE = 2_000;
 
-    private final TicketLedger<Mono<WholeAnswer>> ledger = new TicketLedger<>(MOST_BY_WORKSPACE);
+    private final TicketLedger<Mono<CompleteResponse>> ledger = new TicketLedger<>(MAX_TICKETS_PER_WORKSPACE);
     private final RouterControl control;
     private final Clock clock;
 
-    TicketDesk(RouterControl control, Clock clock) {
+    TicketService(RouterControl control, Clock clock) {
         this.control = control;
         this.clock = clock;
     }
 
-    /** Gives a ticket out. */
+    /** Issues a ticket to the caller's workspace. */
     Ticket issue(CallerRequest caller) {
         long number = ledger.issue(caller.workspace().name(), clock.instant());
         if (number < 0) {
@@ -45,42 +46,47 @@
         return new Ticket(control.id(), control.incarnation(), number);
     }
 
-    /** Runs a request with a ticket here, or where the ticket was given out. */
-    Mono<WholeAnswer> redeem(Ticket ticket, CallerRequest caller, ServiceCall call, ServiceRun run) {
+    /** Runs a request with a ticket, at this router or at the router that issued the ticket. */
+    Mono<CompleteResponse> redeem(Ticket ticket, CallerRequest caller, ServiceCall call, ServiceRun run) {
         if (ticket.router().equals(control.id()) && ticket.incarnation().equals(control.incarnation())) {
-            return here(ticket, caller, call, run);
+            return redeemLocally(ticket, caller, call, run);
         }
-        Optional<Vm> router = control.snapshot().fleet().vm(ticket.router());
-        boolean gone = router.isEmpty() || ticket.router().equals(control.id());
-        return gone
-                ? Mono.error(lost("the router that gave the ticket out is gone"))
-                : passOn(router.get(), ticket, caller, call);
+        Optional<Vm> issuer = control.snapshot().fleet().vm(ticket.router());
+        boolean issuerGone = issuer.isEmpty() || ticket.router().equals(control.id());
+        return issuerGone
+                ? Mono.error(ticketLost("the router that gave the ticket out is gone"))
+                : forward(issuer.get(), ticket, caller, call);
     }
 
-    private Mono<WholeAnswer> here(Ticket ticket, CallerRequest caller, ServiceCall call, ServiceRun run) {
-        Mono<WholeAnswer> begun = run.answer()
+    private Mono<CompleteResponse> redeemLocally(
+            Ticket ticket, CallerRequest caller, ServiceCall call, ServiceRun run) {
+        Mono<CompleteResponse> execution = run.response()
                 .doOnError(RefusedException.class, refused -> {
                     if (refused.refusal().verdict() == Verdict.NOT_RUN) {
                         ledger.notRun(ticket.number());
                     }
                 })
                 .cache();
-        TicketDecision<Mono<WholeAnswer>> decision =
-                ledger.redeem(ticket.number(), caller.workspace().name(), OnceGuard.hash(call), begun, clock.instant());
+        TicketDecision<Mono<CompleteResponse>> decision = ledger.redeem(
+                ticket.number(),
+                caller.workspace().name(),
+                AtMostOnceGuard.requestHash(call),
+                execution,
+                clock.instant());
         if (decision instanceof TicketDecision.Begin) {
-            begun.subscribe(done -> {}, error -> {
-                // the caller's own subscription reports it
+            execution.subscribe(done -> {}, error -> {
+                // the caller's own subscription reports the error
             });
-            return begun;
+            return execution;
         }
-        if (decision instanceof TicketDecision.Join<Mono<WholeAnswer>> join) {
+        if (decision instanceof TicketDecision.Join<Mono<CompleteResponse>> join) {
             return join.run();
         }
         return Mono.error(refusal(decision));
     }
 
-    private Mono<WholeAnswer> passOn(Vm router, Ticket ticket, CallerRequest caller, ServiceCall call) {
-        Duration left = Duration.between(clock.instant(), caller.deadline());
+    private Mono<CompleteResponse> forward(Vm issuer, Ticket ticket, CallerRequest caller, ServiceCall call) {
+        Duration timeLeft = Duration.between(clock.instant(), caller.deadline());
         PeerMessage.TicketRun message = new PeerMessage.TicketRun(
                 ticket.text(),
                 caller.workspace().name(),
@@ -90,33 +96,33 @@
                 call.contentType() == null ? "" : call.contentType(),
                 call.body(),
                 caller.priority(),
-                (int) Math.max(0, Math.min(Integer.MAX_VALUE, left.toMillis())));
+                (int) Math.max(0, Math.min(Integer.MAX_VALUE, timeLeft.toMillis())));
         return control.peers()
-                .request(router, message, left)
-                .onErrorMap(error -> lost("the router that gave the ticket out does not answer"))
-                .flatMap(TicketDesk::answer);
+                .request(issuer, message, timeLeft)
+                .onErrorMap(error -> ticketLost("the router that gave the ticket out does not answer"))
+                .flatMap(TicketService::fromMessage);
     }
 
-    private static Mono<WholeAnswer> answer(PeerMessage message) {
+    private static Mono<CompleteResponse> fromMessage(PeerMessage message) {
         if (!(message instanceof PeerMessage.TicketDone done)) {
-            return Mono.error(lost("the router that gave the ticket out does not know tickets"));
+            return Mono.error(ticketLost("the router that gave the ticket out does not know tickets"));
         }
         if (done.code().isEmpty()) {
             String type = done.contentType().isEmpty() ? null : done.contentType();
-            return Mono.just(new WholeAnswer(done.status(), type, done.body()));
+            return Mono.just(new CompleteResponse(done.status(), type, done.body()));
         }
         return Mono.error(new RefusedException(
                 new Refusal(RefusalCode.valueOf(done.code()), Verdict.valueOf(done.verdict()), done.detail())));
     }
 
-    /** Turns an answer into the message for the router that passed the request on. */
-    static PeerMessage done(WholeAnswer answer) {
+    /** Converts a response to the message for the router that forwarded the request. */
+    static PeerMessage toMessage(CompleteResponse answer) {
         String type = answer.contentType() == null ? "" : answer.contentType();
         return new PeerMessage.TicketDone(answer.status(), type, answer.body(), "", "", "");
     }
 
-    /** Turns a failure into the message for the router that passed the request on. */
-    static PeerMessage failed(Throwable error) {
+    /** Converts a failure to the message for the router that forwarded the request. */
+    static PeerMessage toFailureMessage(Throwable error) {
         Refusal refusal = RefusalWriter.refusalOf(error);
         return new PeerMessage.TicketDone(
                 refusal.code().status(),
@@ -127,17 +133,17 @@
                 refusal.detail());
     }
 
-    private static RefusedException refusal(TicketDecision<Mono<WholeAnswer>> decision) {
+    private static RefusedException refusal(TicketDecision<Mono<CompleteResponse>> decision) {
         if (decision instanceof TicketDecision.Reused) {
             return RefusedException.notRun(RefusalCode.KEY_REUSED, "the ticket was used for a different request");
         }
         if (decision instanceof TicketDecision.NeverIssued) {
             return RefusedException.notRun(RefusalCode.BAD_REQUEST, "no such ticket was given to this workspace");
         }
-        return lost("the ticket is too old");
+        return ticketLost("the ticket is too old");
     }
 
-    private static RefusedException lost(String detail) {
+    private static RefusedException ticketLost(String detail) {
         return new RefusedException(new Refusal(RefusalCode.TICKET_LOST, Verdict.MAY_HAVE_RUN, detail));
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TokenClock.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TokenTimer.java
@@ -1,30 +1,30 @@
 package org.radishpass.router.internal.traffic;
 
 /**
- * Times the events of one stream.
+ * Measures the time to the first event of a stream and the time between its events.
  *
  * @since 0.1.0
  */
-final class TokenClock {
+final class TokenTimer {
     private final CallerRequest request;
     private final TrafficMetrics metrics;
     private long lastNanos = System.nanoTime();
-    private boolean begun;
+    private boolean firstTokenSeen;
 
-    TokenClock(CallerRequest request, TrafficMetrics metrics) {
+    TokenTimer(CallerRequest request, TrafficMetrics metrics) {
         this.request = request;
         this.metrics = metrics;
     }
 
-    /** Notes an event. */
-    void event() {
+    /** Records the time since the previous event, or since the creation of this timer for the first event. */
+    void onEvent() {
         long now = System.nanoTime();
         long nanos = now - lastNanos;
         lastNanos = now;
-        if (begun) {
+        if (firstTokenSeen) {
             metrics.nextToken(request, nanos);
         } else {
-            begun = true;
+            firstTokenSeen = true;
             metrics.firstToken(request, nanos);
         }
     }
--- /dev/null
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficComponents.java
@@ -0,0 +1,30 @@
+package org.radishpass.router.internal.traffic;
+
+import java.time.Clock;
+import org.radishpass.core.admission.WorkspaceGate;
+import org.radishpass.router.internal.endpoint.EndpointClient;
+
+/**
+ * The components that the request handlers share.
+ *
+ * @param placer chooses endpoints and reserves slots
+ * @param client sends attempts to endpoints
+ * @param retries limits the attempts of each request
+ * @param gate limits the requests in progress of each workspace
+ * @param metrics records counts and durations of requests
+ * @param refusals writes refusals to callers
+ * @param decisions keeps the recent placement decisions
+ * @param identity authenticates callers
+ * @param clock the source of the current time
+ * @since 0.1.0
+ */
+record TrafficComponents(
+        Placer placer,
+        EndpointClient client,
+        Retries.Factory retries,
+        WorkspaceGate gate,
+        TrafficMetrics metrics,
+        RefusalWriter refusals,
+        DecisionLog decisions,
+        CallerIdentity identity,
+        Clock clock) {}
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficMetrics.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficMetrics.java
@@ -11,12 +11,12 @@
 import org.radishpass.core.outcome.Refusal;
 
 /**
- * Counts and times requests, by workspace and class.
+ * Publishes counts and durations of requests, by workspace and priority class.
  *
  * @since 0.1.0
  */
 public final class TrafficMetrics {
-    private static final Duration[] BUCKETS = {
+    private static final Duration[] LATENCY_BUCKETS = {
         Duration.ofMillis(10),
         Duration.ofMillis(35),
         Duration.ofMillis(100),
@@ -35,7 +35,7 @@
     /**
      * Creates the metrics.
      *
-     * @param registry where they are kept
+     * @param registry the registry that publishes the metrics
      */
     public TrafficMetrics(MeterRegistry registry) {
         this.registry = registry;
@@ -44,23 +44,23 @@
                 .register(registry);
     }
 
-    /** Counts a request that came in. */
-    public void started() {
+    /** Adds a received request to the requests in progress. */
+    public void requestStarted() {
         inProgress.incrementAndGet();
     }
 
-    /** Counts a request that has ended, in whatever way. */
-    public void ended() {
+    /** Removes a request from the requests in progress, whether it succeeded, failed or was cancelled. */
+    public void requestEnded() {
         inProgress.decrementAndGet();
     }
 
-    /** Returns the requests in progress. */
+    /** Returns the number of requests in progress. */
     public int inProgress() {
         return inProgress.get();
     }
 
     /**
-     * Counts an attempt at an endpoint.
+     * Counts an attempt to execute a request at an endpoint.
      *
      * @param request the request
      */
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Counts a whole answer.
+     * Counts a request that ended with a complete response or stream.
      *
      * @param request the request
      */
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Counts a refusal.
+     * Counts a refusal, by code and verdict.
      *
      * @param refusal the refusal
      */
@@ -106,30 +106,30 @@
     }
 
     /**
-     * Times the first token.
+     * Records the time to the first token of a streamed response.
      *
      * @param request the request
-     * @param nanos from the request to its first token
+     * @param nanos the time from the request to its first token, in nanoseconds
      */
     public void firstToken(CallerRequest request, long nanos) {
         timer("radishpass.first.token", "time to the first token", request).record(Duration.ofNanos(nanos));
     }
 
     /**
-     * Times a gap between tokens.
+     * Records the time between two tokens of a streamed response.
      *
      * @param request the request
-     * @param nanos from a token to the next
+     * @param nanos the time between the tokens, in nanoseconds
      */
     public void nextToken(CallerRequest request, long nanos) {
         timer("radishpass.next.token", "time between tokens", request).record(Duration.ofNanos(nanos));
     }
 
     /**
-     * Times a whole answer.
+     * Records the time to a complete response that is not streamed.
      *
      * @param request the request
-     * @param nanos from the request to its answer
+     * @param nanos the time from the request to its response, in nanoseconds
      */
     public void wholeAnswer(CallerRequest request, long nanos) {
         timer("radishpass.whole.answer", "time to a whole answer that is not streamed", request)
@@ -155,7 +155,7 @@
                         .description(description)
                         .tag("workspace", workspace)
                         .tag("class", priority.wireName())
-                        .serviceLevelObjectives(BUCKETS)
+                        .serviceLevelObjectives(LATENCY_BUCKETS)
                         .register(registry));
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/package-info.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Callers' requests, on the event loops; not API.
+ * Handling of callers' requests, which runs on the event loops; not API.
  *
  * @since 0.1.0
  */
--- a/radishpass-router/src/main/java/org/radishpass/router/package-info.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The router: callers' HTTP in, placement, dispatch, streaming, verdicts.
+ * The router program, which accepts HTTP requests of callers, places them on endpoints and returns the responses.
  *
  * @since 0.1.0
  */
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
@@ -26,7 +26,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.resources.LoopResources;
 
-/** Checks that a configuration that was in force is never taken back. */
+/** Tests that an active configuration is never replaced by an older revision. */
 final class ConfigurationTrackerTest {
     private final FakeTables original = new FakeTables();
     private final FakeTables restored = new FakeTables();
@@ -35,7 +35,7 @@
     private final PeerNode peers = new PeerNode(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             loops,
-            new Silent(),
+            new NoOpPeerHandler(),
             new TrafficMeter(new SimpleMeterRegistry()),
             () -> new PeerMessage.Hello("me", "1", 0));
     private volatile FakeTables tables = original;
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aStoreThatWasRestoredFromAnOlderCopyTakesNothingBack() {
+    void storeRestoredFromOlderCopyDoesNotRevertConfiguration() {
         write(original, "1");
         write(original, "2");
         write(restored, "old");
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anOutageTakesNothingBack() {
+    void storeOutageDoesNotRevertConfiguration() {
         write(original, "1");
         poll();
 
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void anOutageThatLooksLikeAnEmptyStoreTakesNothingBack() {
+    void emptyStoreDoesNotRevertConfiguration() {
         write(original, "1");
         poll();
 
@@ -91,30 +91,30 @@
     }
 
     @Test
-    void whatAPeerMissesIsSentAsChangesOrElseWhole() {
+    void sendsChangesIfAllAreKeptAndAllRecordsOtherwise() {
         write(original, "1");
         poll();
         write(original, "2");
         poll();
 
-        PeerMessage.Changes since = tracker.answer(1);
-        PeerMessage.Changes whole = tracker.answer(0);
+        PeerMessage.Changes incremental = tracker.changesAfter(1);
+        PeerMessage.Changes complete = tracker.changesAfter(0);
 
-        assertThat(since.changes()).hasSize(1);
-        assertThat(since.records()).isEmpty();
-        assertThat(whole.changes()).isEmpty();
-        assertThat(whole.records()).hasSize(1);
+        assertThat(incremental.changes()).hasSize(1);
+        assertThat(incremental.records()).isEmpty();
+        assertThat(complete.changes()).isEmpty();
+        assertThat(complete.records()).hasSize(1);
     }
 
     @Test
-    void aTrackerThatWasToldNothingSaysSo() {
+    void revisionIsUnknownDuringOutageAtStart() {
         original.out(true);
         poll();
 
-        assertThat(tracker.known()).isFalse();
+        assertThat(tracker.revisionKnown()).isFalse();
     }
 
-    /** Polls and waits until the control thread has done all that followed. */
+    /** Polls the store and waits until the control thread has handled the result. */
     private void poll() {
         control.call(() -> {
                     tracker.poll();
@@ -139,8 +139,8 @@
                 .block();
     }
 
-    /** Answers nothing. */
-    private static final class Silent implements PeerHandler {
+    /** Acknowledges each message without handling it. */
+    private static final class NoOpPeerHandler implements PeerHandler {
         @Override
         public Mono<PeerMessage> handle(String from, PeerMessage message) {
             return Mono.just(new PeerMessage.Done());
@@ -148,7 +148,7 @@
 
         @Override
         public void disconnected(String from) {
-            // nothing to forget
+            // no state to clean up
         }
     }
 }
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/EndpointClientTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/EndpointClientTest.java
@@ -25,17 +25,17 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Checks what the router may say of a request when its endpoint fails in every way it can. */
+/** Tests which verdict a request gets for each way in which its endpoint can fail. */
 final class EndpointClientTest {
     private final HttpRuntime runtime = new HttpRuntime("test", 2);
     private final EndpointClient client = new EndpointClient(runtime.client(), Clock.systemUTC());
     private final AtomicInteger received = new AtomicInteger();
-    private volatile BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> behaviour =
+    private volatile BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> responder =
             (request, response) -> response.send();
     private final DisposableServer server = runtime.server("127.0.0.1", 0)
             .handle((request, response) -> request.receive().aggregate().then(Mono.defer(() -> {
                 received.incrementAndGet();
-                return Mono.from(behaviour.apply(request, response));
+                return Mono.from(responder.apply(request, response));
             })))
             .bindNow();
 
@@ -46,43 +46,43 @@
     }
 
     @Test
-    void aWholeAnswerToThisAttemptIsTaken() {
-        behaviour = (request, response) -> named(request, response).sendString(Mono.just("done"));
+    void completeResponseToThisAttemptIsReturned() {
+        responder = (request, response) -> withRequestIds(request, response).sendString(Mono.just("done"));
 
-        WholeAnswer answer = client.call(attempt(server.port())).block();
+        CompleteResponse response = client.call(attempt(server.port())).block();
 
-        assertThat(answer).isNotNull();
-        assertThat(java.util.Objects.requireNonNull(answer).status()).isEqualTo(200);
+        assertThat(response).isNotNull();
+        assertThat(java.util.Objects.requireNonNull(response).status()).isEqualTo(200);
     }
 
     @Test
-    void aRefusedConnectionIsNotRun() {
+    void refusedConnectionMeansNotRun() {
         server.disposeNow();
 
         assertThat(callFailure().verdict()).isEqualTo(Verdict.NOT_RUN);
     }
 
     @Test
-    void aConnectionThatDiesAfterTheWriteMayHaveRunAndIsNotSentAgain() {
-        behaviour = EndpointClientTest::drop;
+    void connectionLostAfterWriteMeansMayHaveRunWithoutResend() {
+        responder = EndpointClientTest::dropConnection;
 
         assertThat(callFailure().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
         assertThat(received.get()).isEqualTo(1);
     }
 
     @Test
-    void aPooledConnectionThatDiesAfterTheWriteIsNotSentAgainEither() {
-        behaviour = (request, response) -> named(request, response).sendString(Mono.just("done"));
+    void pooledConnectionLostAfterWriteMeansMayHaveRunWithoutResend() {
+        responder = (request, response) -> withRequestIds(request, response).sendString(Mono.just("done"));
         client.call(attempt(server.port())).block();
-        behaviour = EndpointClientTest::drop;
+        responder = EndpointClientTest::dropConnection;
 
         assertThat(callFailure().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
         assertThat(received.get()).isEqualTo(2);
     }
 
     @Test
-    void anEndpointThatDeclinesBeforeRunningIsNotRun() {
-        behaviour = (request, response) -> named(request, response)
+    void declineBeforeRunningMeansNotRun() {
+        responder = (request, response) -> withRequestIds(request, response)
                 .status(503)
                 .header(HeaderNames.NOT_RUN, "true")
                 .send();
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void anAnswerToAnotherRequestIsNeverPassedOn() {
-        behaviour = (request, response) -> named(request, response)
+    void responseToAnotherRequestIsRejected() {
+        responder = (request, response) -> withRequestIds(request, response)
                 .header(HeaderNames.REQUEST_ID, "another")
                 .sendString(Mono.just("somebody else's"));
 
@@ -102,16 +102,17 @@
     }
 
     @Test
-    void anAnswerToAnEarlierAttemptIsNeverPassedOn() {
-        behaviour = (request, response) ->
-                named(request, response).header(HeaderNames.ATTEMPT, "0").sendString(Mono.just("late"));
+    void responseToEarlierAttemptIsRejected() {
+        responder = (request, response) -> withRequestIds(request, response)
+                .header(HeaderNames.ATTEMPT, "0")
+                .sendString(Mono.just("late"));
 
         assertThat(callFailure().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Test
-    void anAnswerShorterThanItsLengthIsNotWhole() {
-        behaviour = (request, response) -> named(request, response)
+    void responseShorterThanContentLengthFails() {
+        responder = (request, response) -> withRequestIds(request, response)
                 .header("Content-Length", "100")
                 .sendString(Flux.just("short").concatWith(Flux.error(new IllegalStateException("the endpoint dies"))));
 
@@ -119,16 +120,17 @@
     }
 
     @Test
-    void aStreamThatEndsCleanlyButWithoutItsMarkIsBroken() {
-        behaviour = (request, response) -> named(request, response).sendString(Mono.just("id: 0\ndata: {}\n\n"));
+    void streamWithoutEndMarkerFails() {
+        responder =
+                (request, response) -> withRequestIds(request, response).sendString(Mono.just("id: 0\ndata: {}\n\n"));
 
         assertThat(streamFailure().verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Test
-    void aStreamWithItsMarkIsWhole() {
-        behaviour = (request, response) ->
-                named(request, response).sendString(Mono.just("id: 0\ndata: {}\n\ndata: [DONE]\n\n"));
+    void streamWithEndMarkerCompletes() {
+        responder = (request, response) ->
+                withRequestIds(request, response).sendString(Mono.just("id: 0\ndata: {}\n\ndata: [DONE]\n\n"));
 
         List<SseEvent> events =
                 client.stream(attempt(server.port())).collectList().block();
@@ -137,7 +139,7 @@
     }
 
     @Test
-    void aRequestWhoseDeadlineHasPassedIsNeverSent() {
+    void requestPastItsDeadlineIsNotSent() {
         Attempt late = new Attempt(
                 "request",
                 1,
@@ -168,12 +170,12 @@
                 () -> client.stream(attempt(server.port())).blockLast());
     }
 
-    private static Publisher<Void> drop(HttpServerRequest request, HttpServerResponse response) {
+    private static Publisher<Void> dropConnection(HttpServerRequest request, HttpServerResponse response) {
         response.withConnection(connection -> connection.dispose());
         return Mono.never();
     }
 
-    private static HttpServerResponse named(HttpServerRequest request, HttpServerResponse response) {
+    private static HttpServerResponse withRequestIds(HttpServerRequest request, HttpServerResponse response) {
         return response.header(
                         HeaderNames.REQUEST_ID,
                         String.valueOf(request.requestHeaders().get(HeaderNames.REQUEST_ID)))
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/SseFramerTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/SseFramerTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Checks that events come out whole however their bytes arrive. */
+/** Tests that events are parsed completely, however the stream's bytes are split. */
 final class SseFramerTest {
     private static final String STREAM = "id: 0\ndata: {\"a\":1}\n\nid: 1\r\ndata: é\r\n\r\n: note\n\ndata: [DONE]\n\n";
 
     @Property(tries = 200, seed = "53")
-    void anySplitOfTheBytesGivesTheSameEvents(@ForAll @IntRange(min = 1, max = 9) int step) {
+    void eventsDoNotDependOnHowBytesAreSplit(@ForAll @IntRange(min = 1, max = 9) int step) {
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         SseFramer framer = new SseFramer();
         List<SseEvent> events = new ArrayList<>();
@@ -30,21 +30,21 @@
         assertThat(events.stream().map(SseEvent::id).toList())
                 .containsExactly(0L, 1L, -1L, -1L)
                 .inOrder();
-        assertThat(events.stream().map(SseEvent::last).toList())
+        assertThat(events.stream().map(SseEvent::endMarker).toList())
                 .containsExactly(false, false, false, true)
                 .inOrder();
         assertThat(text(events)).isEqualTo(STREAM.replace("\r", ""));
     }
 
     @Property(tries = 500, seed = "54")
-    void anyBytesAreTakenWithoutAFault(@ForAll byte[] bytes) {
+    void arbitraryBytesDoNotThrow(@ForAll byte[] bytes) {
         SseFramer framer = new SseFramer();
 
         assertThat(framer.accept(bytes)).isNotNull();
     }
 
     @Test
-    void anEventWithoutAnEndIsNotKeptForever() {
+    void unterminatedEventFailsAboveSizeLimit() {
         SseFramer framer = new SseFramer();
         byte[] part = new byte[SseFramer.MAX_EVENT_BYTES];
         java.util.Arrays.fill(part, (byte) 'x');
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/traffic/DenialMemoryTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/traffic/RecentDenialsTest.java
@@ -19,44 +19,44 @@
 import org.radishpass.core.load.LoadBound;
 import org.radishpass.core.load.SlotAnswer;
 
-/** Checks that endpoints which have just denied a slot are left out for a moment. */
-final class DenialMemoryTest {
-    private final Time time = new Time();
-    private final DenialMemory memory = new DenialMemory(time);
+/** Tests that endpoints which recently denied a slot are left out for a limited time. */
+final class RecentDenialsTest {
+    private final ManualClock clock = new ManualClock();
+    private final RecentDenials denials = new RecentDenials(clock);
     private final Endpoint full = engine("full");
     private final Endpoint free = engine("free");
 
     @Test
-    void aDenialIsRememberedForAMoment() {
-        memory.note(full, request(PriorityClass.INTERACTIVE), new SlotOffer(SlotAnswer.OVER_BOUND, 5, 5));
-        assertThat(memory.without(List.of(full, free), request(PriorityClass.INTERACTIVE)))
+    void denialIsForgottenAfterRetention() {
+        denials.recordResult(full, request(PriorityClass.INTERACTIVE), new SlotResult(SlotAnswer.OVER_BOUND, 5, 5));
+        assertThat(denials.withoutDenied(List.of(full, free), request(PriorityClass.INTERACTIVE)))
                 .containsExactly(free);
 
-        time.now = time.now.plus(Duration.ofSeconds(1));
+        clock.now = clock.now.plus(Duration.ofSeconds(1));
 
-        assertThat(memory.without(List.of(full, free), request(PriorityClass.INTERACTIVE)))
+        assertThat(denials.withoutDenied(List.of(full, free), request(PriorityClass.INTERACTIVE)))
                 .containsExactly(full, free);
     }
 
     @Test
-    void aDenialOfOneClassSaysNothingOfAnother() {
-        memory.note(full, request(PriorityClass.BATCH), new SlotOffer(SlotAnswer.FULL, 5, 5));
+    void denialAppliesToItsPriorityClassOnly() {
+        denials.recordResult(full, request(PriorityClass.BATCH), new SlotResult(SlotAnswer.FULL, 5, 5));
 
-        assertThat(memory.without(List.of(full, free), request(PriorityClass.INTERACTIVE)))
+        assertThat(denials.withoutDenied(List.of(full, free), request(PriorityClass.INTERACTIVE)))
                 .containsExactly(full, free);
     }
 
     @Test
-    void aGrantIsNotADenial() {
-        memory.note(full, request(PriorityClass.INTERACTIVE), new SlotOffer(SlotAnswer.GRANTED, 1, 5));
+    void grantIsNotRecordedAsDenial() {
+        denials.recordResult(full, request(PriorityClass.INTERACTIVE), new SlotResult(SlotAnswer.GRANTED, 1, 5));
 
-        assertThat(memory.without(List.of(full), request(PriorityClass.INTERACTIVE)))
+        assertThat(denials.withoutDenied(List.of(full), request(PriorityClass.INTERACTIVE)))
                 .containsExactly(full);
     }
 
     private PlaceRequest request(PriorityClass priority) {
         return new PlaceRequest(
-                "w", "chat", null, "pool", priority, LoadBound.DEFAULT, 0, 1, time.now.plusSeconds(9), Set.of());
+                "w", "chat", null, "pool", priority, LoadBound.DEFAULT, 0, 1, clock.now.plusSeconds(9), Set.of());
     }
 
     private static Engine engine(String id) {
@@ -64,7 +64,7 @@
                 id, "1", new DataCentre("here"), new Address("127.0.0.1", 1), EndpointState.READY, Set.of("pool"), 1);
     }
 
-    private static final class Time extends Clock {
+    private static final class ManualClock extends Clock {
         private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
         @Override
