--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
@@ -155,8 +155,8 @@
         peers.request(peer, new PeerMessage.ChangesWanted(current.revision()), PEER_TIMEOUT)
                 .publishOn(control.scheduler())
                 .subscribe(
-                        answer -> {
-                            if (answer instanceof PeerMessage.Changes changes) {
+                        reply -> {
+                            if (reply instanceof PeerMessage.Changes changes) {
                                 applyFromPeer(changes);
                             }
                             fetching = false;
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
@@ -27,7 +27,7 @@
     private static final int FAILURES_UNTIL_SUSPECT = 2;
 
     private final FleetDirectory directory = new FleetDirectory();
-    private final Map<String, Integer> failures = new HashMap<>();
+    private final Map<String, Integer> failuresById = new HashMap<>();
     private final ControlThread control;
     private final EndpointProbe probe;
     private final Clock clock;
@@ -126,7 +126,7 @@
     }
 
     private void onProbeAnswer(EndpointReport report) {
-        failures.remove(report.endpointId());
+        failuresById.remove(report.endpointId());
         boolean directoryChanged = directory.reported(report, clock.instant());
         reportListener.accept(report);
         if (directoryChanged) {
@@ -135,7 +135,7 @@
     }
 
     private void onProbeFailure(Endpoint endpoint) {
-        int count = failures.merge(endpoint.id(), 1, Integer::sum);
+        int count = failuresById.merge(endpoint.id(), 1, Integer::sum);
         if (count < FAILURES_UNTIL_SUSPECT) {
             return;
         }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
@@ -241,7 +241,7 @@
         } else if (message instanceof PeerMessage.EndpointReports reports) {
             reports.reports().forEach(report -> fleet.update(ReportMessages.decode(report)));
         } else if (message instanceof PeerMessage.Leaving leaving) {
-            LOG.info("router {} announced that it is leaving; it is marked as leaving in the fleet", leaving.vmId());
+            LOG.info("router {} announced that it is leaving and is marked as leaving", leaving.vmId());
             fleet.markLeaving(leaving.vmId());
         } else {
             LOG.warn("ignored an unexpected message of kind {} from {}", message.kind(), from);
@@ -285,7 +285,7 @@
     private void updateFleet() {
         FleetView view = fleet.view();
         Map<String, Vm> owners = OwnerSelection.ofAll(view.endpoints(), view.vms());
-        slots.fleetChanged(view, owners);
+        slots.updateOwnership(view, owners);
         publish(view, owners);
         peers.retain(id -> view.vm(id).isPresent());
         newPeers.notifyNewPeers(view);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
@@ -82,7 +82,7 @@
      * @param fleet the current view of the fleet
      * @param owners the owner of each endpoint, by the endpoint's ID
      */
-    public void fleetChanged(FleetView fleet, Map<String, Vm> owners) {
+    public void updateOwnership(FleetView fleet, Map<String, Vm> owners) {
         owned = fleet.endpoints().stream()
                 .filter(endpoint -> {
                     Vm owner = owners.get(endpoint.id());
@@ -199,8 +199,8 @@
         peers.request(coordinator, parts, EXCHANGE_TIMEOUT)
                 .publishOn(control.scheduler())
                 .subscribe(
-                        answer -> {
-                            if (answer instanceof PeerMessage.PoolTotals totals) {
+                        reply -> {
+                            if (reply instanceof PeerMessage.PoolTotals totals) {
                                 applyTotals(parts, totals);
                             }
                         },
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/SseFramer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/SseFramer.java
@@ -14,7 +14,7 @@
  * @since 0.1.0
  */
 public final class SseFramer {
-    /** The maximum size of an event, in bytes. */
+    /** The maximum number of bytes that are buffered for an incomplete event. */
     public static final int MAX_EVENT_BYTES = 1024 * 1024;
 
     private static final String END_MARKER = "data: [DONE]";
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/AtMostOnceGuard.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/AtMostOnceGuard.java
@@ -55,13 +55,13 @@
         }
         String key = caller.workspace().name() + '/' + call.service() + '/' + call.key();
         Claim claim = Claim.open(caller.id(), requestHash(call), clock.instant());
-        Mono<CompleteResponse> answer = claims.claim(key, claim)
+        Mono<CompleteResponse> response = claims.claim(key, claim)
                 .flatMap(decision -> applyDecision(decision, key, claim, run))
                 .cache();
-        answer.subscribe(done -> {}, error -> {
+        response.subscribe(done -> {}, error -> {
             // the caller's own subscription reports the error
         });
-        return answer;
+        return response;
     }
 
     private Mono<CompleteResponse> applyDecision(ClaimDecision decision, String key, Claim claim, ServiceRun run) {
@@ -76,7 +76,7 @@
 
     private Mono<CompleteResponse> runClaimed(String key, Claim claim, ServiceRun run) {
         return run.response()
-                .flatMap(answer -> store(key, claim, answer).thenReturn(answer))
+                .flatMap(response -> store(key, claim, response).thenReturn(response))
                 .onErrorResume(RefusedException.class, refused -> {
                     if (refused.refusal().verdict() != Verdict.NOT_RUN) {
                         return Mono.error(refused);
@@ -85,12 +85,12 @@
                 });
     }
 
-    private Mono<Void> store(String key, Claim claim, CompleteResponse answer) {
-        if (answer.body().length > MAX_STORED_BYTES) {
+    private Mono<Void> store(String key, Claim claim, CompleteResponse response) {
+        if (response.body().length > MAX_STORED_BYTES) {
             return Mono.empty();
         }
-        String body = Base64.getEncoder().encodeToString(answer.body());
-        return claims.finish(key, claim.done(answer.status(), answer.contentType(), body))
+        String body = Base64.getEncoder().encodeToString(response.body());
+        return claims.finish(key, claim.done(response.status(), response.contentType(), body))
                 .timeout(FINISH_TIMEOUT)
                 .onErrorComplete();
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerIdentity.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerAuthenticator.java
@@ -16,14 +16,14 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /**
- * Identifies the caller of a request: authenticates the workspace by its API key and reads class and deadline headers.
+ * Authenticates the caller of a request by an API key and reads the request's priority class and deadline.
  *
  * <p>An API key has the form {@code WORKSPACE.SECRET}. The workspace's configuration record holds a salted hash of the
  * secret.
  *
  * @since 0.1.0
  */
-public final class CallerIdentity {
+public final class CallerAuthenticator {
     private static final String BEARER_PREFIX = "Bearer ";
     private static final long MAX_DEADLINE_MILLIS = 24L * 60 * 60 * 1000;
 
@@ -32,12 +32,12 @@
     private final Clock clock;
 
     /**
-     * Creates an identification of callers.
+     * Creates an authenticator.
      *
      * @param control the router's control state
      * @param clock the source of the current time
      */
-    public CallerIdentity(RouterControl control, Clock clock) {
+    public CallerAuthenticator(RouterControl control, Clock clock) {
         this.control = control;
         this.clock = clock;
     }
@@ -48,7 +48,7 @@
      * @param request the HTTP request
      * @throws RefusedException if the API key or a header is invalid, or if this router has no configuration yet
      */
-    public CallerRequest identify(HttpServerRequest request) {
+    public CallerRequest authenticate(HttpServerRequest request) {
         RouterSnapshot snapshot = control.snapshot();
         if (snapshot.configuration().revision() == 0) {
             throw RefusedException.notRun(RefusalCode.NOT_READY, "this router has no configuration yet");
@@ -83,7 +83,7 @@
             return Optional.empty();
         }
         String secret = key.substring(dot + 1);
-        return snapshot.configuration().workspace(key.substring(0, dot)).filter(found -> found.accepts(secret));
+        return snapshot.configuration().workspace(key.substring(0, dot)).filter(workspace -> workspace.accepts(secret));
     }
 
     private static PriorityClass priority(@Nullable String header, WorkspaceSpec workspace) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
@@ -30,7 +30,7 @@
     private static final int UNAVAILABLE = 503;
     private static final String PROMETHEUS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-    private final TrafficComponents tools;
+    private final TrafficComponents components;
     private final RouterControl control;
     private final PrometheusMeterRegistry metrics;
     private final ChatHandler chats;
@@ -42,16 +42,16 @@
             HttpRuntime runtime,
             String host,
             int port,
-            TrafficComponents tools,
+            TrafficComponents components,
             AtMostOnceGuard guard,
             TicketService tickets,
             RouterControl control,
             PrometheusMeterRegistry metrics) {
-        this.tools = tools;
+        this.components = components;
         this.control = control;
         this.metrics = metrics;
-        this.chats = new ChatHandler(tools);
-        this.services = new ServiceHandler(tools, guard, control);
+        this.chats = new ChatHandler(components);
+        this.services = new ServiceHandler(components, guard, control);
         this.tickets = tickets;
         control.setTicketHandler(services::handleForwarded);
         this.server = runtime.server(host, port)
@@ -76,12 +76,13 @@
                 authenticated(
                         request,
                         response,
-                        (caller, unread, answer) -> HttpJson.send(
-                                answer,
+                        (caller, httpRequest, httpResponse) -> HttpJson.send(
+                                httpResponse,
                                 CREATED,
                                 Map.of("ticket", tickets.issue(caller).text())));
             case "GET /v1/models" ->
-                authenticated(request, response, (caller, unread, answer) -> listModels(caller, answer));
+                authenticated(
+                        request, response, (caller, httpRequest, httpResponse) -> listModels(caller, httpResponse));
             case "GET /healthz" -> HttpJson.send(response, OK, Map.of("status", "alive"));
             case "GET /readyz" -> readiness(response);
             case "GET /metrics" ->
@@ -99,20 +100,22 @@
             return explain(path.substring("v1/explain/".length()), response);
         }
         Refusal refusal = Refusal.notRun(RefusalCode.NOT_FOUND, "there is no " + request.method() + " /" + path);
-        return tools.refusals().write(response, tools.identity().nextRequestId(), refusal);
+        return components.refusals().write(response, components.authenticator().nextRequestId(), refusal);
     }
 
     private Publisher<Void> authenticated(HttpServerRequest request, HttpServerResponse response, Handler handler) {
         CallerRequest caller;
         try {
-            caller = tools.identity().identify(request);
+            caller = components.authenticator().authenticate(request);
         } catch (RefusedException e) {
-            return tools.refusals().write(response, tools.identity().nextRequestId(), e.refusal());
+            return components
+                    .refusals()
+                    .write(response, components.authenticator().nextRequestId(), e.refusal());
         }
-        tools.metrics().requestStarted();
+        components.metrics().requestStarted();
         return Mono.defer(() -> Mono.from(handler.handle(caller, request, response)))
                 .onErrorResume(error -> respondWithError(caller, error, response))
-                .doFinally(signal -> tools.metrics().requestEnded());
+                .doFinally(signal -> components.metrics().requestEnded());
     }
 
     private Mono<Void> respondWithError(CallerRequest caller, Throwable error, HttpServerResponse response) {
@@ -120,8 +123,8 @@
             return Mono.error(error);
         }
         Refusal refusal = RefusalWriter.refusalOf(error);
-        tools.decisions().find(caller.id()).ifPresent(decision -> decision.recordRefusal(refusal));
-        return Mono.from(tools.refusals().write(response, caller.id(), refusal));
+        components.decisions().find(caller.id()).ifPresent(decision -> decision.recordRefusal(refusal));
+        return Mono.from(components.refusals().write(response, caller.id(), refusal));
     }
 
     private Publisher<Void> readiness(HttpServerResponse response) {
@@ -139,10 +142,12 @@
     }
 
     private Publisher<Void> explain(String requestId, HttpServerResponse response) {
-        return tools.decisions()
+        return components
+                .decisions()
                 .find(requestId)
                 .map(decision -> HttpJson.send(response, OK, decision.toJsonMap()))
-                .orElseGet(() -> tools.refusals()
+                .orElseGet(() -> components
+                        .refusals()
                         .write(
                                 response,
                                 requestId,
@@ -156,7 +161,7 @@
         status.put("incarnation", control.incarnation());
         status.put("ready", snapshot.ready());
         status.put("revision", snapshot.configuration().revision());
-        status.put("requestsInProgress", tools.metrics().inProgress());
+        status.put("requestsInProgress", components.metrics().inProgress());
         status.put(
                 "routers",
                 snapshot.fleet().vms().stream().map(vm -> vm.id()).sorted().toList());
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
@@ -24,10 +24,10 @@
 final class ChatHandler {
     private static final String EVENT_STREAM = "text/event-stream";
 
-    private final TrafficComponents tools;
+    private final TrafficComponents components;
 
-    ChatHandler(TrafficComponents tools) {
-        this.tools = tools;
+    ChatHandler(TrafficComponents components) {
+        this.components = components;
     }
 
     Publisher<Void> handle(CallerRequest caller, HttpServerRequest request, HttpServerResponse response) {
@@ -45,7 +45,8 @@
                 .poolFor(prompt.model())
                 .orElseThrow(() -> RefusedException.notRun(
                         RefusalCode.NOT_FOUND, "no record declares the model " + prompt.model()));
-        if (!tools.gate()
+        if (!components
+                .gate()
                 .tryEnter(
                         workspace.name(),
                         workspace.inFlight(),
@@ -64,23 +65,23 @@
                 workspace.queued(),
                 caller.deadline(),
                 Set.of());
-        DecisionLog.Decision decision = tools.decisions().start(caller, pool, prompt.chat());
-        ChatRun run = new ChatRun(caller, placeRequest, body, tools, decision);
+        DecisionLog.Decision decision = components.decisions().start(caller, pool, prompt.chat());
+        ChatRun run = new ChatRun(caller, placeRequest, body, components, decision);
         response.header(HeaderNames.REQUEST_ID, caller.id());
         Publisher<Void> result = prompt.streamed()
                 ? respondWithStream(caller, run, decision, response)
                 : respondComplete(caller, run, decision, response);
-        return Mono.from(result).doFinally(signal -> tools.gate().leave(workspace.name()));
+        return Mono.from(result).doFinally(signal -> components.gate().leave(workspace.name()));
     }
 
     private Publisher<Void> respondWithStream(
             CallerRequest caller, ChatRun run, DecisionLog.Decision decision, HttpServerResponse response) {
-        TokenTimer tokenTimer = new TokenTimer(caller, tools.metrics());
+        TokenTimer tokenTimer = new TokenTimer(caller, components.metrics());
         return run.events()
                 .doOnNext(event -> tokenTimer.onEvent())
                 .doOnComplete(() -> {
-                    tools.metrics().answered(caller);
-                    decision.recordAnswer();
+                    components.metrics().requestSucceeded(caller);
+                    decision.recordSuccess();
                 })
                 .switchOnFirst((first, events) -> startStream(caller, run, decision, first, events, response));
     }
@@ -101,7 +102,7 @@
         Flux<byte[]> bytes = events.map(SseEvent::raw).onErrorResume(error -> {
             Refusal refusal = RefusalWriter.refusalOf(error);
             decision.recordRefusal(refusal);
-            byte[] errorEvent = tools.refusals().lastEvent(caller.id(), refusal);
+            byte[] errorEvent = components.refusals().errorEvent(caller.id(), refusal);
             return Flux.just(errorEvent).concatWith(Flux.error(error));
         });
         return response.send(bytes.map(Unpooled::wrappedBuffer), buffer -> true);
@@ -110,21 +111,21 @@
     private Publisher<Void> respondComplete(
             CallerRequest caller, ChatRun run, DecisionLog.Decision decision, HttpServerResponse response) {
         long startNanos = System.nanoTime();
-        return run.completeResponse().flatMap(answer -> {
-            tools.metrics().wholeAnswer(caller, System.nanoTime() - startNanos);
-            tools.metrics().answered(caller);
-            decision.recordAnswer();
+        return run.completeResponse().flatMap(endpointResponse -> {
+            components.metrics().completeResponse(caller, System.nanoTime() - startNanos);
+            components.metrics().requestSucceeded(caller);
+            decision.recordSuccess();
             run.affinity().ifPresent(token -> response.header(HeaderNames.AFFINITY, token));
-            return Mono.from(send(answer, response));
+            return Mono.from(send(endpointResponse, response));
         });
     }
 
-    static Publisher<Void> send(CompleteResponse answer, HttpServerResponse response) {
-        response.status(answer.status());
-        if (answer.contentType() != null) {
-            response.header(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+    static Publisher<Void> send(CompleteResponse endpointResponse, HttpServerResponse response) {
+        response.status(endpointResponse.status());
+        if (endpointResponse.contentType() != null) {
+            response.header(HttpHeaderNames.CONTENT_TYPE, endpointResponse.contentType());
         }
-        response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(answer.body().length));
-        return response.sendByteArray(Mono.just(answer.body()));
+        response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(endpointResponse.body().length));
+        return response.sendByteArray(Mono.just(endpointResponse.body()));
     }
 }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
@@ -21,7 +21,7 @@
         boolean streamed,
         String chat,
         @Nullable String affinity) {
-    private static final int OPENING_MESSAGES = 2;
+    private static final int HASHED_MESSAGES = 2;
 
     /**
      * Parses the body of a chat request.
@@ -58,7 +58,7 @@
      */
     private static String openingHash(JsonNode messages) {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < Math.min(OPENING_MESSAGES, messages.size()); i++) {
+        for (int i = 0; i < Math.min(HASHED_MESSAGES, messages.size()); i++) {
             text.append(messages.get(i)).append('\n');
         }
         return Long.toHexString(Rendezvous.hash(text.toString()));
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatRun.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatRun.java
@@ -27,7 +27,7 @@
     private static final String JSON_TYPE = "application/json";
 
     private final CallerRequest request;
-    private final PlaceRequest place;
+    private final PlaceRequest placeRequest;
     private final byte[] body;
     private final Placer placer;
     private final EndpointClient client;
@@ -41,38 +41,38 @@
 
     ChatRun(
             CallerRequest request,
-            PlaceRequest place,
+            PlaceRequest placeRequest,
             byte[] body,
-            TrafficComponents tools,
+            TrafficComponents components,
             DecisionLog.Decision decision) {
         this.request = request;
-        this.place = place;
+        this.placeRequest = placeRequest;
         this.body = body;
-        this.placer = tools.placer();
-        this.client = tools.client();
-        this.retries = tools.retries().create(request, true);
-        this.metrics = tools.metrics();
-        this.clock = tools.clock();
+        this.placer = components.placer();
+        this.client = components.client();
+        this.retries = components.retries().create(request, true);
+        this.metrics = components.metrics();
+        this.clock = components.clock();
         this.decision = decision;
     }
 
     /** Returns the events of the response in order and without duplicates, across all attempts. */
     Flux<SseEvent> events() {
-        return place().flatMapMany(placed -> client.stream(attempt(placed))
+        return place().flatMapMany(placement -> client.stream(attempt(placement))
                 .filter(this::isNew)
-                .doFinally(signal -> placer.release(placed))
+                .doFinally(signal -> placer.release(placement))
                 .onErrorResume(AttemptFailure.class, failure -> {
-                    onFailure(placed, failure);
+                    onFailure(placement, failure);
                     return events();
                 }));
     }
 
     /** Returns the complete response. */
     Mono<CompleteResponse> completeResponse() {
-        return place().flatMap(placed -> client.call(attempt(placed))
-                .doFinally(signal -> placer.release(placed))
+        return place().flatMap(placement -> client.call(attempt(placement))
+                .doFinally(signal -> placer.release(placement))
                 .onErrorResume(AttemptFailure.class, failure -> {
-                    onFailure(placed, failure);
+                    onFailure(placement, failure);
                     return completeResponse();
                 }));
     }
@@ -84,19 +84,19 @@
     }
 
     private Mono<Placement> place() {
-        return placer.place(place.withExcluded(retries.failedEndpointIds()), decision)
+        return placer.place(placeRequest.withExcluded(retries.failedEndpointIds()), decision)
                 .onErrorMap(RefusedException.class, retries::withAttemptsVerdict);
     }
 
-    private Attempt attempt(Placement placed) {
-        metrics.attempt(request);
+    private Attempt attempt(Placement placement) {
+        metrics.attemptStarted(request);
         int number = retries.nextAttemptNumber();
-        currentEndpointId = placed.endpoint().id();
-        decision.recordAttempt(number, placed.endpoint().id(), clock.instant());
+        currentEndpointId = placement.endpoint().id();
+        decision.recordAttempt(number, placement.endpoint().id(), clock.instant());
         return new Attempt(
                 request.id(),
                 number,
-                placed.endpoint(),
+                placement.endpoint(),
                 "POST",
                 CHAT_PATH,
                 JSON_TYPE,
@@ -106,15 +106,15 @@
                 nextToken);
     }
 
-    private void onFailure(Placement placed, AttemptFailure failure) {
-        decision.recordFailure(placed.endpoint().id(), failure);
+    private void onFailure(Placement placement, AttemptFailure failure) {
+        decision.recordFailure(placement.endpoint().id(), failure);
         if (hasUnnumberedEvents) {
             throw new RefusedException(new Refusal(
                     RefusalCode.ENDPOINT_FAILED,
                     Verdict.RAN,
                     "the stream broke off and its tokens have no numbers to resume from"));
         }
-        retries.onFailure(placed.endpoint(), failure);
+        retries.onFailure(placement.endpoint(), failure);
     }
 
     private boolean isNew(SseEvent event) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
@@ -19,7 +19,7 @@
     private static final int MAX_DECISIONS = 2_000;
     private static final int MAX_STEPS = 40;
 
-    private final Map<String, Decision> newest = new LinkedHashMap<>() {
+    private final Map<String, Decision> recentDecisions = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -37,20 +37,20 @@
      */
     public Decision start(CallerRequest request, String pool, String chat) {
         Decision decision = new Decision(request, pool, chat);
-        synchronized (newest) {
-            newest.put(request.id(), decision);
+        synchronized (recentDecisions) {
+            recentDecisions.put(request.id(), decision);
         }
         return decision;
     }
 
     /**
-     * Returns the decisions for a request, or empty if they are not kept or no longer kept.
+     * Returns the decisions for a request, or empty if the request is unknown or its decisions were discarded.
      *
      * @param requestId the request's ID
      */
     public Optional<Decision> find(String requestId) {
-        synchronized (newest) {
-            return Optional.ofNullable(newest.get(requestId));
+        synchronized (recentDecisions) {
+            return Optional.ofNullable(recentDecisions.get(requestId));
         }
     }
 
@@ -77,10 +77,10 @@
 
         /** Returns the decisions recorded so far, as a map to be serialized to JSON. */
         public synchronized Map<String, Object> toJsonMap() {
-            Map<String, Object> view = new LinkedHashMap<>(requestFields);
-            view.put("steps", List.copyOf(steps));
-            view.put("outcome", outcome == null ? "in progress" : outcome);
-            return view;
+            Map<String, Object> json = new LinkedHashMap<>(requestFields);
+            json.put("steps", List.copyOf(steps));
+            json.put("outcome", outcome == null ? "in progress" : outcome);
+            return json;
         }
 
         @Override
@@ -124,7 +124,7 @@
         }
 
         /** Records that the request ended with a complete response. */
-        public synchronized void recordAnswer() {
+        public synchronized void recordSuccess() {
             outcome = "answered";
         }
 
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Places a request, and retries with increasing pauses while no endpoint has a free slot.
+     * Places a request. While no endpoint has a free slot, the placement is retried with increasing pauses.
      *
      * @param request the request to place
      * @param trace receives the result of each slot request
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
@@ -41,7 +41,7 @@
         if (error instanceof RefusedException refused) {
             return refused.refusal();
         }
-        LOG.error("a request failed with an unexpected error; it is refused as possibly run", error);
+        LOG.error("a request failed with an unexpected error; the caller is told that the request may have run", error);
         return new Refusal(RefusalCode.ENDPOINT_FAILED, Verdict.MAY_HAVE_RUN, "the router failed");
     }
 
@@ -53,7 +53,7 @@
      * @param refusal the refusal to write
      */
     public Publisher<Void> write(HttpServerResponse response, String requestId, Refusal refusal) {
-        metrics.refused(refusal);
+        metrics.requestRefused(refusal);
         response.header(HeaderNames.REQUEST_ID, requestId);
         response.header(HeaderNames.VERDICT, refusal.verdict().name());
         int retryAfter = refusal.code().retryAfterSeconds();
@@ -64,13 +64,13 @@
     }
 
     /**
-     * Returns the error event that ends a stream which failed after its first event.
+     * Returns the server-sent error event that ends a stream which failed after its first event.
      *
      * @param requestId the ID of the request
      * @param refusal the reason for the failure
      */
-    public byte[] lastEvent(String requestId, Refusal refusal) {
-        metrics.refused(refusal);
+    public byte[] errorEvent(String requestId, Refusal refusal) {
+        metrics.requestRefused(refusal);
         byte[] json = HttpJson.bytes(body(requestId, refusal));
         String event = "event: error\ndata: " + new String(json, java.nio.charset.StandardCharsets.UTF_8) + "\n\n";
         return event.getBytes(java.nio.charset.StandardCharsets.UTF_8);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
@@ -38,7 +38,7 @@
         this.trafficMetrics = new TrafficMetrics(metrics);
         PassiveHealth health = new PassiveHealth(clock);
         SlotClient slots = new SlotClient(control, clock);
-        TrafficComponents tools = new TrafficComponents(
+        TrafficComponents components = new TrafficComponents(
                 new Placer(control, slots, health, clock),
                 new EndpointClient(runtime.client(), clock),
                 new Retries.Factory(health, clock),
@@ -46,14 +46,14 @@
                 trafficMetrics,
                 new RefusalWriter(trafficMetrics),
                 new DecisionLog(),
-                new CallerIdentity(control, clock),
+                new CallerAuthenticator(control, clock),
                 clock);
         TicketService tickets = new TicketService(control, clock);
         this.server = new CallerServer(
                 runtime,
                 settings.listen(),
                 settings.port(),
-                tools,
+                components,
                 new AtMostOnceGuard(claims, tickets, clock),
                 tickets,
                 control,
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceHandler.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceHandler.java
@@ -26,12 +26,12 @@
     private static final String PATH_PREFIX = "/services/";
     private static final int MAX_KEY_LENGTH = 200;
 
-    private final TrafficComponents tools;
+    private final TrafficComponents components;
     private final AtMostOnceGuard guard;
     private final RouterControl control;
 
-    ServiceHandler(TrafficComponents tools, AtMostOnceGuard guard, RouterControl control) {
-        this.tools = tools;
+    ServiceHandler(TrafficComponents components, AtMostOnceGuard guard, RouterControl control) {
+        this.components = components;
         this.guard = guard;
         this.control = control;
     }
@@ -63,10 +63,10 @@
     private Publisher<Void> respond(CallerRequest caller, String pool, ServiceCall call, HttpServerResponse response) {
         response.header(HeaderNames.REQUEST_ID, caller.id());
         long startNanos = System.nanoTime();
-        return execute(caller, pool, call).flatMap(answer -> {
-            tools.metrics().wholeAnswer(caller, System.nanoTime() - startNanos);
-            tools.metrics().answered(caller);
-            return Mono.from(ChatHandler.send(answer, response));
+        return execute(caller, pool, call).flatMap(endpointResponse -> {
+            components.metrics().completeResponse(caller, System.nanoTime() - startNanos);
+            components.metrics().requestSucceeded(caller);
+            return Mono.from(ChatHandler.send(endpointResponse, response));
         });
     }
 
@@ -82,9 +82,9 @@
                             .service(message.service())
                             .orElseThrow(() ->
                                     RefusedException.notRun(RefusalCode.NOT_FOUND, "the service is not known here"));
-                    Instant now = tools.clock().instant();
+                    Instant now = components.clock().instant();
                     CallerRequest caller = new CallerRequest(
-                            tools.identity().nextRequestId(),
+                            components.authenticator().nextRequestId(),
                             workspace,
                             message.priority(),
                             now,
@@ -107,7 +107,8 @@
 
     private Mono<CompleteResponse> execute(CallerRequest caller, String pool, ServiceCall call) {
         WorkspaceSpec workspace = caller.workspace();
-        if (!tools.gate()
+        if (!components
+                .gate()
                 .tryEnter(
                         workspace.name(),
                         workspace.inFlight(),
@@ -127,11 +128,11 @@
                 workspace.queued(),
                 caller.deadline(),
                 Set.of());
-        DecisionLog.Decision decision = tools.decisions().start(caller, pool, affinityKey);
-        ServiceRun run = new ServiceRun(caller, placeRequest, call, tools, decision);
+        DecisionLog.Decision decision = components.decisions().start(caller, pool, affinityKey);
+        ServiceRun run = new ServiceRun(caller, placeRequest, call, components, decision);
         return runOnceIfKeyed(caller, call, run)
-                .doOnNext(answer -> decision.recordAnswer())
-                .doFinally(signal -> tools.gate().leave(workspace.name()));
+                .doOnNext(response -> decision.recordSuccess())
+                .doFinally(signal -> components.gate().leave(workspace.name()));
     }
 
     private Mono<CompleteResponse> runOnceIfKeyed(CallerRequest caller, ServiceCall call, ServiceRun run) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
@@ -6,56 +6,59 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Executes one call of a plain service. A non-idempotent call is retried only if the previous attempt certainly did not
- * run.
+ * Executes one call of a plain service at one or more endpoints. A non-idempotent call is retried only if the failed
+ * attempt certainly did not run.
  *
  * @since 0.1.0
  */
 final class ServiceRun {
     private final CallerRequest request;
-    private final PlaceRequest place;
+    private final PlaceRequest placeRequest;
     private final ServiceCall call;
-    private final TrafficComponents tools;
+    private final TrafficComponents components;
     private final Retries retries;
     private final DecisionLog.Decision decision;
 
     ServiceRun(
             CallerRequest request,
-            PlaceRequest place,
+            PlaceRequest placeRequest,
             ServiceCall call,
-            TrafficComponents tools,
+            TrafficComponents components,
             DecisionLog.Decision decision) {
         this.request = request;
-        this.place = place;
+        this.placeRequest = placeRequest;
         this.call = call;
-        this.tools = tools;
-        this.retries = tools.retries().create(request, call.idempotent());
+        this.components = components;
+        this.retries = components.retries().create(request, call.idempotent());
         this.decision = decision;
     }
 
     /** Executes the call and returns the complete response, or a {@link RefusedException} if all attempts fail. */
     Mono<CompleteResponse> response() {
-        return tools.placer()
-                .place(place.withExcluded(retries.failedEndpointIds()), decision)
+        return components
+                .placer()
+                .place(placeRequest.withExcluded(retries.failedEndpointIds()), decision)
                 .onErrorMap(RefusedException.class, retries::withAttemptsVerdict)
-                .flatMap(placed -> tools.client()
-                        .call(attempt(placed))
-                        .doFinally(signal -> tools.placer().release(placed))
+                .flatMap(placement -> components
+                        .client()
+                        .call(attempt(placement))
+                        .doFinally(signal -> components.placer().release(placement))
                         .onErrorResume(AttemptFailure.class, failure -> {
-                            decision.recordFailure(placed.endpoint().id(), failure);
-                            retries.onFailure(placed.endpoint(), failure);
+                            decision.recordFailure(placement.endpoint().id(), failure);
+                            retries.onFailure(placement.endpoint(), failure);
                             return response();
                         }));
     }
 
-    private Attempt attempt(Placement placed) {
-        tools.metrics().attempt(request);
+    private Attempt attempt(Placement placement) {
+        components.metrics().attemptStarted(request);
         int number = retries.nextAttemptNumber();
-        decision.recordAttempt(number, placed.endpoint().id(), tools.clock().instant());
+        decision.recordAttempt(
+                number, placement.endpoint().id(), components.clock().instant());
         return new Attempt(
                 request.id(),
                 number,
-                placed.endpoint(),
+                placement.endpoint(),
                 call.method(),
                 call.path(),
                 call.contentType(),
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
@@ -30,7 +30,7 @@
     private static final Duration OWNER_TIMEOUT = Duration.ofMillis(250);
     private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(30);
 
-    private final ConcurrentHashMap<Long, HeldSlot> held = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<Long, HeldSlot> heldSlots = new ConcurrentHashMap<>();
     private final AtomicLong lastSlotId = new AtomicLong();
     private final SliverBound ownLoad = new SliverBound();
     private final RouterControl control;
@@ -71,7 +71,7 @@
                 request.priority(),
                 (float) request.bound().multiple(),
                 millisUntil(expiresAt));
-        return ask(owner, wanted)
+        return requestSlot(owner, wanted)
                 .map(reply -> new SlotResult(reply.answer(), reply.running(), reply.limit()))
                 .onErrorReturn(SlotResult.UNCONFIRMED)
                 .map(result -> applyResult(result, slotId, endpoint, request, owner, expiresAt));
@@ -94,11 +94,11 @@
      */
     public void release(long slotId, Endpoint endpoint) {
         ownLoad.ended(endpoint.id());
-        HeldSlot slot = held.remove(slotId);
+        HeldSlot slot = heldSlots.remove(slotId);
         if (slot == null) {
             return;
         }
-        control.snapshot().owner(endpoint.id()).ifPresent(owner -> free(owner, slotId, endpoint));
+        control.snapshot().owner(endpoint.id()).ifPresent(owner -> sendRelease(owner, slotId, endpoint));
     }
 
     /**
@@ -110,14 +110,14 @@
         return ownLoad.running(endpointId);
     }
 
-    private Mono<PeerMessage.SlotReply> ask(Optional<Vm> owner, PeerMessage.SlotWanted wanted) {
+    private Mono<PeerMessage.SlotReply> requestSlot(Optional<Vm> owner, PeerMessage.SlotWanted wanted) {
         if (owner.isEmpty()) {
             return Mono.error(new IllegalStateException("no owner is known"));
         }
-        Mono<PeerMessage> answer = owner.get().id().equals(control.id())
+        Mono<PeerMessage> reply = owner.get().id().equals(control.id())
                 ? control.reserveLocally(wanted)
                 : control.peers().request(owner.get(), wanted, OWNER_TIMEOUT);
-        return answer.cast(PeerMessage.SlotReply.class);
+        return reply.cast(PeerMessage.SlotReply.class);
     }
 
     private SlotResult applyResult(
@@ -129,18 +129,18 @@
             Instant expiresAt) {
         boolean unconfirmed = result.answer() == SlotAnswer.UNCONFIRMED;
         if (unconfirmed && !allowedByOwnLoad(endpoint, request)) {
-            owner.ifPresent(vm -> free(vm, slotId, endpoint));
+            owner.ifPresent(vm -> sendRelease(vm, slotId, endpoint));
             return SlotResult.OVER_OWN_BOUND;
         }
         if (result.allowsSending()) {
             ownLoad.started(endpoint.id());
             String ownerId = owner.map(Vm::id).orElse("");
-            held.put(slotId, new HeldSlot(endpoint.id(), request.priority(), expiresAt, ownerId));
+            heldSlots.put(slotId, new HeldSlot(endpoint.id(), request.priority(), expiresAt, ownerId));
         }
         return result;
     }
 
-    private void free(Vm owner, long slotId, Endpoint endpoint) {
+    private void sendRelease(Vm owner, long slotId, Endpoint endpoint) {
         PeerMessage.SlotFreed freed = new PeerMessage.SlotFreed(slotId, endpoint.id());
         if (owner.id().equals(control.id())) {
             control.releaseLocally(freed);
@@ -166,9 +166,9 @@
 
     private void announceToNewOwners() {
         RouterSnapshot snapshot = control.snapshot();
-        held.forEach((slotId, slot) -> snapshot.owner(slot.endpointId()).ifPresent(owner -> {
+        heldSlots.forEach((slotId, slot) -> snapshot.owner(slot.endpointId()).ifPresent(owner -> {
             if (!owner.id().equals(slot.ownerId())) {
-                held.replace(slotId, slot, slot.withOwner(owner.id()));
+                heldSlots.replace(slotId, slot, slot.withOwner(owner.id()));
                 announce(owner, slotId, slot);
             }
         }));
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketService.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketService.java
@@ -116,9 +116,9 @@
     }
 
     /** Converts a response to the message for the router that forwarded the request. */
-    static PeerMessage toMessage(CompleteResponse answer) {
-        String type = answer.contentType() == null ? "" : answer.contentType();
-        return new PeerMessage.TicketDone(answer.status(), type, answer.body(), "", "", "");
+    static PeerMessage toMessage(CompleteResponse response) {
+        String type = response.contentType() == null ? "" : response.contentType();
+        return new PeerMessage.TicketDone(response.status(), type, response.body(), "", "", "");
     }
 
     /** Converts a failure to the message for the router that forwarded the request. */
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficComponents.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficComponents.java
@@ -14,7 +14,7 @@
  * @param metrics records counts and durations of requests
  * @param refusals writes refusals to callers
  * @param decisions keeps the recent placement decisions
- * @param identity authenticates callers
+ * @param authenticator authenticates callers
  * @param clock the source of the current time
  * @since 0.1.0
  */
@@ -26,5 +26,5 @@
         TrafficMetrics metrics,
         RefusalWriter refusals,
         DecisionLog decisions,
-        CallerIdentity identity,
+        CallerAuthenticator authenticator,
         Clock clock) {}
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficMetrics.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficMetrics.java
@@ -64,7 +64,7 @@
      *
      * @param request the request
      */
-    public void attempt(CallerRequest request) {
+    public void attemptStarted(CallerRequest request) {
         counter(
                         "radishpass.attempts",
                         "attempts at endpoints",
@@ -78,7 +78,7 @@
      *
      * @param request the request
      */
-    public void answered(CallerRequest request) {
+    public void requestSucceeded(CallerRequest request) {
         counter(
                         "radishpass.answers",
                         "whole answers",
@@ -92,7 +92,7 @@
      *
      * @param refusal the refusal
      */
-    public void refused(Refusal refusal) {
+    public void requestRefused(Refusal refusal) {
         String code = refusal.code().name();
         String verdict = refusal.verdict().name();
         counters.computeIfAbsent(
@@ -131,7 +131,7 @@
      * @param request the request
      * @param nanos the time from the request to its response, in nanoseconds
      */
-    public void wholeAnswer(CallerRequest request, long nanos) {
+    public void completeResponse(CallerRequest request, long nanos) {
         timer("radishpass.whole.answer", "time to a whole answer that is not streamed", request)
                 .record(Duration.ofNanos(nanos));
     }
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
@@ -79,6 +79,7 @@
         assertThat(tracker.current().revision()).isEqualTo(1);
     }
 
+    /** Guards against an outage during which the store answers as if it were empty. */
     @Test
     void emptyStoreDoesNotRevertConfiguration() {
         write(original, "1");
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/EndpointClientTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/endpoint/EndpointClientTest.java
@@ -70,6 +70,7 @@
         assertThat(received.get()).isEqualTo(1);
     }
 
+    /** Guards against an HTTP client that silently resends a request when a pooled connection closes. */
     @Test
     void pooledConnectionLostAfterWriteMeansMayHaveRunWithoutResend() {
         responder = (request, response) -> withRequestIds(request, response).sendString(Mono.just("done"));
