--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceRun.java
@@ -2,59 +2,63 @@
 
 import org.radishpass.router.internal.endpoint.Attempt;
 import org.radishpass.router.internal.endpoint.AttemptFailure;
-import org.radishpass.router.internal.endpoint.WholeAnswer;
+import org.radishpass.router.internal.endpoint.CompleteResponse;
 import reactor.core.publisher.Mono;
 
 /**
- * One call of a plain service on its way. A non-idempotent one is sent again only if it provably did not run.
+ * Executes one call of a plain service at one or more endpoints. A non-idempotent call is retried only if the failed
+ * attempt certainly did not run.
  *
  * @since 0.1.0
  */
 final class ServiceRun {
     private final CallerRequest request;
-    private final PlaceRequest place;
+    private final PlaceRequest placeRequest;
     private final ServiceCall call;
-    private final TrafficTools tools;
+    private final TrafficComponents components;
     private final Retries retries;
     private final DecisionLog.Decision decision;
 
     ServiceRun(
             CallerRequest request,
-            PlaceRequest place,
+            PlaceRequest placeRequest,
             ServiceCall call,
-            TrafficTools tools,
+            TrafficComponents components,
             DecisionLog.Decision decision) {
         this.request = request;
-        this.place = place;
+        this.placeRequest = placeRequest;
         this.call = call;
-        this.tools = tools;
-        this.retries = tools.retries().of(request, call.idempotent());
+        this.components = components;
+        this.retries = components.retries().create(request, call.idempotent());
         this.decision = decision;
     }
 
-    /** Returns the answer; it ends in a {@link RefusedException} if there is none. */
-    Mono<WholeAnswer> answer() {
-        return tools.placer()
-                .place(place.without(retries.failedAt()), decision)
-                .onErrorMap(RefusedException.class, retries::afterPlacement)
-                .flatMap(placed -> tools.client()
-                        .call(attempt(placed))
-                        .doFinally(signal -> tools.placer().release(placed))
+    /** Executes the call and returns the complete response, or a {@link RefusedException} if all attempts fail. */
+    Mono<CompleteResponse> response() {
+        return components
+                .placer()
+                .place(placeRequest.withExcluded(retries.failedEndpointIds()), decision)
+                .onErrorMap(RefusedException.class, retries::withAttemptsVerdict)
+                .flatMap(placement -> components
+                        .client()
+                        .call(attempt(placement))
+                        .doFinally(signal -> components.placer().release(placement))
                         .onErrorResume(AttemptFailure.class, failure -> {
-                            decision.failed(placed.endpoint().id(), failure);
-                            retries.failed(placed.endpoint(), failure);
-                            return answer();
+                            decision.recordFailure(placement.endpoint().id(), failure);
+                            retries.onFailure(placement.endpoint(), failure);
+                            return response();
                         }));
     }
 
-    private Attempt attempt(Placed placed) {
-        tools.metrics().attempt(request);
-        int number = retries.next();
-        decision.attempted(number, placed.endpoint().id(), tools.clock().instant());
+    private Attempt attempt(Placement placement) {
+        components.metrics().attemptStarted(request);
+        int number = retries.nextAttemptNumber();
+        decision.recordAttempt(
+                number, placement.endpoint().id(), components.clock().instant());
         return new Attempt(
                 request.id(),
                 number,
-                placed.endpoint(),
+                placement.endpoint(),
                 call.method(),
                 call.path(),
                 call.contentType(),
