--- a/radishpass-core/src/main/java/org/radishpass/core/admission/PriorityClass.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/admission/PriorityClass.java
@@ -5,61 +5,66 @@
 import java.util.Optional;
 
 /**
- * The classes of requests, the most urgent first.
+ * The priority classes of requests, from most to least urgent.
  *
  * @since 0.1.0
  */
 public enum PriorityClass {
-    /** Somebody is waiting for the first token. */
+    /** Requests of which a user is waiting for the first token. */
     INTERACTIVE(0, Duration.ofSeconds(60), 1.0),
-    /** Short checks and orders that others wait on. */
+    /** Short checks and orders on which other work depends. */
     CHECK(1, Duration.ofSeconds(30), 1.0),
-    /** Large jobs that nobody waits on but that must be done by their deadline. */
+    /** Large jobs that no user waits for but that must finish by their deadline. */
     BATCH(2, Duration.ofMinutes(10), 0.5);
 
     private final int enginePriority;
     private final Duration patience;
-    private final double shareOfSlots;
+    private final double maxSlotShare;
 
-    PriorityClass(int enginePriority, Duration patience, double shareOfSlots) {
+    PriorityClass(int enginePriority, Duration patience, double maxSlotShare) {
         this.enginePriority = enginePriority;
         this.patience = patience;
-        this.shareOfSlots = shareOfSlots;
+        this.maxSlotShare = maxSlotShare;
     }
 
-    /** Returns the priority that engines are given; 0 is the most urgent. */
+    /** Returns the priority value that is sent to engines; 0 is the most urgent. */
     public int enginePriority() {
         return enginePriority;
     }
 
-    /** Returns how long a caller that set no deadline is taken to wait. */
+    /** Returns how long a caller is assumed to wait if its request sets no deadline. */
     public Duration patience() {
         return patience;
     }
 
-    /** Tells whether this class gets only what the others leave. */
+    /**
+     * Returns whether this class is limited to a part of an endpoint's slots, so that the rest is left to the other
+     * classes.
+     */
     public boolean sheddable() {
-        return shareOfSlots < 1;
+        return maxSlotShare < 1;
     }
 
     /**
-     * Returns the most slots of an endpoint that this class may hold.
+     * Returns the maximum number of slots of an endpoint that requests of this class may hold.
+     *
+     * <p>The result is at least 1, so that a small endpoint can serve every class.
      *
-     * @param capacity the endpoint's slots
+     * @param capacity the number of slots of the endpoint
      */
-    public int mostSlots(int capacity) {
-        return Math.max(1, (int) (capacity * shareOfSlots));
+    public int maxSlots(int capacity) {
+        return Math.max(1, (int) (capacity * maxSlotShare));
     }
 
-    /** Returns the name used on the wire and in records. */
+    /** Returns the name of this class on the wire and in configuration records. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Finds a class by its name on the wire.
+     * Returns the priority class with a given name on the wire, or empty if there is none.
      *
-     * @param name the name, in any case
+     * @param name the name; upper and lower case are equivalent
      */
     public static Optional<PriorityClass> byWireName(String name) {
         for (PriorityClass candidate : values()) {
--- a/radishpass-core/src/main/java/org/radishpass/core/admission/WorkspaceGate.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/admission/WorkspaceGate.java
@@ -4,37 +4,40 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Holds each workspace to its share of requests in progress at this router.
+ * Limits the number of requests that each workspace has in progress at this router.
  *
- * <p>A record's limit is for the fleet. Each router allows its share with some headroom, since the platform's balancer
- * does not spread a workspace evenly. Safe for threads.
+ * <p>The limit in a workspace's record applies to the whole fleet. Each router enforces an equal share of it, enlarged
+ * by a headroom factor because the platform's load balancer does not spread a workspace's requests evenly over the
+ * routers.
+ *
+ * <p>Thread-safe.
  *
  * @since 0.1.0
  */
 public final class WorkspaceGate {
-    private static final double HEADROOM = 1.5;
+    private static final double HEADROOM_FACTOR = 1.5;
 
     private final ConcurrentHashMap<String, AtomicInteger> inProgress = new ConcurrentHashMap<>();
 
     /**
-     * Lets a request in, or not.
+     * Admits a request if its workspace has fewer requests in progress than this router allows.
      *
-     * @param workspace the workspace that asks
-     * @param fleetLimit the workspace's limit for the fleet
+     * @param workspace the workspace that sent the request
+     * @param fleetLimit the maximum number of requests that the workspace may have in progress in the whole fleet
      * @param routers the number of routers
-     * @return whether it was let in; if so, {@link #leave} must follow once
+     * @return whether the request was admitted; if so, {@link #leave} must be called exactly once when the request ends
      */
     public boolean tryEnter(String workspace, int fleetLimit, int routers) {
-        int share = share(fleetLimit, routers);
+        int limit = routerLimit(fleetLimit, routers);
         AtomicInteger count = inProgress.computeIfAbsent(workspace, name -> new AtomicInteger());
-        int before = count.getAndUpdate(value -> value < share ? value + 1 : value);
-        return before < share;
+        int before = count.getAndUpdate(value -> value < limit ? value + 1 : value);
+        return before < limit;
     }
 
     /**
-     * Counts a request as finished.
+     * Records that an admitted request has ended.
      *
-     * @param workspace the workspace that asked
+     * @param workspace the workspace that sent the request
      */
     public void leave(String workspace) {
         AtomicInteger count = inProgress.get(workspace);
@@ -44,7 +47,7 @@
     }
 
     /**
-     * Returns the requests in progress.
+     * Returns the number of requests that a workspace has in progress at this router.
      *
      * @param workspace the workspace
      */
@@ -53,7 +56,7 @@
         return count == null ? 0 : count.get();
     }
 
-    static int share(int fleetLimit, int routers) {
-        return Math.max(1, (int) Math.ceil(fleetLimit * HEADROOM / Math.max(1, routers)));
+    static int routerLimit(int fleetLimit, int routers) {
+        return Math.max(1, (int) Math.ceil(fleetLimit * HEADROOM_FACTOR / Math.max(1, routers)));
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/admission/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits on what is let in, by workspace and by priority class.
+ * Admission limits by workspace and by priority class.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/cache/PromptBlocks.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/cache/PromptBlocks.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * Cuts prompts into blocks, each named by a hash that also covers all blocks before it.
+ * Divides prompts into blocks and computes for each block a hash that also covers all blocks before it.
  *
- * <p>Two prompts share as many leading hashes as they share whole blocks of their beginning. A token is taken to be a
- * word.
+ * <p>Two prompts have as many leading hashes in common as they have leading whole blocks in common. Each word,
+ * delimited by spaces, counts as one token.
  *
  * @since 0.1.0
  */
 public final class PromptBlocks {
-    /** The tokens of a block. */
+    /** The number of tokens in a block. */
     public static final int BLOCK_TOKENS = 16;
 
-    private static final long MIX = 0x9E3779B97F4A7C15L;
-    private static final int SHIFT = 29;
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+    private static final int HASH_SHIFT = 29;
 
     private PromptBlocks() {
         // static methods only
     }
 
     /**
-     * Returns the hashes of a prompt's whole blocks.
+     * Returns the hashes of a prompt's whole blocks, in order. A shorter block at the end has no hash.
      *
-     * @param text the prompt
+     * @param text the text of the prompt
      */
     public static List<Long> chain(String text) {
         List<Long> hashes = new ArrayList<>();
@@ -38,8 +38,8 @@
                 continue;
             }
             if (i > start) {
-                hash = (hash ^ text.substring(start, i).hashCode()) * MIX;
-                hash ^= hash >>> SHIFT;
+                hash = (hash ^ text.substring(start, i).hashCode()) * HASH_MULTIPLIER;
+                hash ^= hash >>> HASH_SHIFT;
                 words++;
                 if (words % BLOCK_TOKENS == 0) {
                     hashes.add(hash);
--- a/radishpass-core/src/main/java/org/radishpass/core/cache/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/cache/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Prompts as prefix caches see them.
+ * Division of prompts into the blocks that prefix caches use.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/CapacityPlan.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/CapacityPlan.java
@@ -9,10 +9,11 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * Shares a data centre's engines out to models.
+ * Assigns the engines of a data centre to models.
  *
- * <p>The same records and engines always give the same plan, so controllers that share the engines agree without
- * talking. An engine that comes or goes moves as few others as it can.
+ * <p>The plan depends only on the demands and on the set of engines, not on their order. Controllers that manage the
+ * same engines therefore compute the same plan without exchanging messages. The engines of a model are chosen by
+ * rendezvous hashing, so adding or removing an engine changes few other assignments.
  *
  * @since 0.1.0
  */
@@ -22,10 +23,10 @@
     }
 
     /**
-     * Returns what each engine is to do.
+     * Returns the desired state of each engine, by the engine's identity.
      *
-     * @param demands the declared capacities
-     * @param engines the identities of the engines that are there
+     * @param demands the capacity declared for each model
+     * @param engines the identities of the available engines
      */
     public static Map<String, EndpointGoal> of(Collection<Demand> demands, Collection<String> engines) {
         List<String> free = new ArrayList<>(engines);
@@ -33,37 +34,37 @@
         List<Demand> ordered =
                 demands.stream().sorted(Comparator.comparing(Demand::model)).toList();
         for (Demand demand : ordered) {
-            take(free, demand.model(), demand.ready())
+            takeHighestScored(free, demand.model(), demand.ready())
                     .forEach(id -> goals.put(id, new EndpointGoal(true, demand.pools())));
         }
         for (Demand demand : ordered) {
-            take(free, demand.model(), demand.asleep()).forEach(id -> goals.put(id, EndpointGoal.ASLEEP));
+            takeHighestScored(free, demand.model(), demand.asleep()).forEach(id -> goals.put(id, EndpointGoal.ASLEEP));
         }
         free.forEach(id -> goals.put(id, EndpointGoal.IDLE));
         return goals;
     }
 
-    private static List<String> take(List<String> free, String model, int count) {
+    private static List<String> takeHighestScored(List<String> free, String model, int count) {
         long modelHash = Rendezvous.hash(model);
-        List<String> best = free.stream()
+        List<String> taken = free.stream()
                 .sorted(Comparator.comparingDouble(id -> -Rendezvous.score(modelHash, Rendezvous.hash(id), 1)))
                 .limit(count)
                 .toList();
-        free.removeAll(best);
-        return best;
+        free.removeAll(taken);
+        return taken;
     }
 
     /**
-     * How many engines a model is to have.
+     * The number of engines that a model is to have.
      *
      * @param model the model
-     * @param pools the pools that a loaded engine serves
-     * @param ready the engines that stand ready
-     * @param asleep the engines that sleep
+     * @param pools the pools that an engine with this model serves
+     * @param ready the number of engines that have the model loaded
+     * @param asleep the number of sleeping engines kept as spares for the model
      * @since 0.1.0
      */
     public record Demand(String model, List<String> pools, int ready, int asleep) {
-        /** Copies the pools. */
+        /** Makes a copy of the list of pools. */
         public Demand {
             pools = List.copyOf(pools);
         }
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/EndpointGoal.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/EndpointGoal.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What an engine is to do.
+ * The desired state of an engine.
  *
- * @param awake whether it is to be awake
- * @param pools the pools that it is to serve, in the order in which they are to be loaded
+ * @param awake whether the engine is to be awake
+ * @param pools the pools that the engine is to serve, in the order in which they are to be loaded
  * @since 0.1.0
  */
 public record EndpointGoal(boolean awake, List<String> pools) {
-    /** An engine that is to stay awake without a model. */
+    /** The state of an engine that is awake and has no model loaded. */
     public static final EndpointGoal IDLE = new EndpointGoal(true, List.of());
 
-    /** An engine that is to sleep. */
+    /** The state of a sleeping engine. */
     public static final EndpointGoal ASLEEP = new EndpointGoal(false, List.of());
 
-    /** Copies the pools. */
+    /** Makes a copy of the list of pools. */
     public EndpointGoal {
         pools = List.copyOf(pools);
     }
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/Order.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/Order.java
@@ -1,17 +1,17 @@
 package org.radishpass.core.converge;
 
 /**
- * One order to an endpoint.
+ * An order to an endpoint.
  *
- * @param type what to do
- * @param pool the pool that it is about; empty where it is about none
+ * @param type the action that the endpoint is to take
+ * @param pool the pool to load or unload; empty for an order that concerns no pool
  * @since 0.1.0
  */
 public record Order(OrderType type, String pool) {
     /**
-     * Returns an order that is about no pool.
+     * Returns an order that concerns no pool.
      *
-     * @param type what to do
+     * @param type the action that the endpoint is to take
      */
     static Order of(OrderType type) {
         return new Order(type, "");
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/OrderPlan.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/OrderPlan.java
@@ -5,10 +5,10 @@
 import org.radishpass.core.fleet.EndpointState;
 
 /**
- * Chooses the next order to an endpoint from what it is to do and what it does.
+ * Chooses the next order to an endpoint by comparing its desired state with its current state.
  *
- * <p>It goes by level: the same two states always give the same order, however they came about. A new version is loaded
- * before an old one is given up, so that service has no gap.
+ * <p>The choice depends only on these two states and not on the events that led to them. A new version is loaded before
+ * the old one is unloaded, so that the endpoint serves requests without interruption.
  *
  * @since 0.1.0
  */
@@ -18,19 +18,19 @@
     }
 
     /**
-     * Returns the next order, if one is needed.
+     * Returns the next order, or empty if the endpoint needs none now.
      *
-     * @param goal what it is to do
-     * @param state the stage of its life
-     * @param pools the pools that it serves
-     * @param running the requests that it runs
+     * @param goal the desired state of the endpoint
+     * @param state the current lifecycle state of the endpoint
+     * @param pools the pools that the endpoint serves now
+     * @param running the number of requests in progress at the endpoint
      */
     public static Optional<Order> next(EndpointGoal goal, EndpointState state, Set<String> pools, int running) {
         if (state == EndpointState.LEAVING || state == EndpointState.SUSPECT) {
             return Optional.empty();
         }
         if (!goal.awake()) {
-            return toSleep(state, pools, running);
+            return nextTowardsSleep(state, pools, running);
         }
         if (state == EndpointState.ASLEEP) {
             return Optional.of(Order.of(OrderType.WAKE));
@@ -39,10 +39,10 @@
                 .filter(pool -> !pools.contains(pool))
                 .findFirst()
                 .map(pool -> new Order(OrderType.LOAD, pool));
-        return load.isPresent() ? load : unload(goal, pools);
+        return load.isPresent() ? load : unloadSurplusPool(goal, pools);
     }
 
-    private static Optional<Order> toSleep(EndpointState state, Set<String> pools, int running) {
+    private static Optional<Order> nextTowardsSleep(EndpointState state, Set<String> pools, int running) {
         if (state == EndpointState.ASLEEP) {
             return Optional.empty();
         }
@@ -52,7 +52,7 @@
         return running > 0 ? Optional.empty() : Optional.of(Order.of(OrderType.SLEEP));
     }
 
-    private static Optional<Order> unload(EndpointGoal goal, Set<String> pools) {
+    private static Optional<Order> unloadSurplusPool(EndpointGoal goal, Set<String> pools) {
         return pools.stream()
                 .filter(pool -> !goal.pools().contains(pool))
                 .sorted()
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/OrderType.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/OrderType.java
@@ -3,23 +3,23 @@
 import java.util.Locale;
 
 /**
- * The orders that an endpoint can be given.
+ * The types of orders to an endpoint.
  *
  * @since 0.1.0
  */
 public enum OrderType {
-    /** Load a model, adapter and version. */
+    /** Load a pool: a version of a model, with its adapter if it has one. */
     LOAD,
-    /** Give one up. */
+    /** Unload a pool. */
     UNLOAD,
-    /** Switch on. */
+    /** Wake up from sleep. */
     WAKE,
-    /** Switch off. */
+    /** Go to sleep. */
     SLEEP,
-    /** Take nothing new and finish what runs. */
+    /** Accept no new requests and finish those in progress. */
     DRAIN;
 
-    /** Returns the name on the wire. */
+    /** Returns the name of this type on the wire. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What endpoints are to do according to the records, and the orders that bring them there.
+ * The desired state of endpoints, derived from configuration records, and the orders that bring endpoints to that
+ * state.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Address.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Address.java
@@ -1,7 +1,7 @@
 package org.radishpass.core.fleet;
 
 /**
- * An IP literal with a port.
+ * A network address: an IP literal and a port.
  *
  * @param host an IPv4 or IPv6 literal
  * @param port the port, 1 to 65535
@@ -10,7 +10,7 @@
 public record Address(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Checks the port. */
+    /** Checks that the port is in range. */
     public Address {
         if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("port " + port + " is not between 1 and " + MAX_PORT);
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
@@ -3,43 +3,47 @@
 import java.util.Set;
 
 /**
- * A back end that requests are routed to.
+ * A back end to which requests are routed.
  *
- * <p>Immutable; a change of state makes a new object.
+ * <p>Immutable: {@link #withState} returns a new object.
  *
  * @since 0.1.0
  */
 public sealed interface Endpoint permits Engine, Runner {
-    /** Returns the identity in the platform's VM list. */
+    /** Returns the identity of the endpoint in the platform's VM list. */
     String id();
 
-    /** Returns which start of the endpoint this is; a restart brings a new one. */
+    /** Returns the incarnation of the endpoint, which changes with each restart. */
     String incarnation();
 
-    /** Returns where the endpoint stands. */
+    /** Returns the data centre in which the endpoint runs. */
     DataCentre dataCentre();
 
-    /** Returns where it takes requests. */
+    /** Returns the address at which the endpoint accepts requests. */
     Address address();
 
-    /** Returns the stage of its life. */
+    /** Returns the lifecycle state of the endpoint. */
     EndpointState state();
 
-    /** Returns the names of the pools whose requests it can answer. */
+    /** Returns the names of the pools that the endpoint serves. */
     Set<String> pools();
 
-    /** Returns its share of work relative to others, above 0. */
+    /** Returns the endpoint's share of requests relative to other endpoints, above 0. */
     double weight();
 
-    /** Tells whether it can be given new work of a pool. */
+    /**
+     * Returns whether the endpoint accepts new requests of a pool.
+     *
+     * @param pool the name of the pool
+     */
     default boolean serves(String pool) {
-        return state().takesWork() && pools().contains(pool);
+        return state().acceptsNewRequests() && pools().contains(pool);
     }
 
     /**
-     * Returns this endpoint in another state.
+     * Returns a copy of this endpoint with another state.
      *
-     * @param newState the state to take
+     * @param newState the state of the copy
      */
-    Endpoint inState(EndpointState newState);
+    Endpoint withState(EndpointState newState);
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointList.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointList.java
@@ -6,7 +6,8 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * Endpoints with the hashes of their identities worked out once, since every placement needs them all.
+ * A list of endpoints that stores the hash of each endpoint's identity. Each placement decision needs all of these
+ * hashes, so they are computed once.
  *
  * <p>Immutable.
  *
@@ -14,22 +15,22 @@
  */
 public final class EndpointList extends AbstractList<Endpoint> implements RandomAccess {
     private final Endpoint[] endpoints;
-    private final long[] hashes;
-    private final boolean even;
+    private final long[] identityHashes;
+    private final boolean uniformWeight;
 
     private EndpointList(List<Endpoint> source) {
         this.endpoints = source.toArray(new Endpoint[0]);
-        this.hashes = new long[endpoints.length];
+        this.identityHashes = new long[endpoints.length];
         boolean sameWeight = true;
         for (int i = 0; i < endpoints.length; i++) {
-            hashes[i] = Rendezvous.hash(endpoints[i].id());
+            identityHashes[i] = Rendezvous.hash(endpoints[i].id());
             sameWeight &= endpoints[i].weight() == endpoints[0].weight();
         }
-        this.even = sameWeight;
+        this.uniformWeight = sameWeight;
     }
 
     /**
-     * Returns a list of these endpoints, or the list itself if it is one already.
+     * Returns a list of these endpoints. If the argument is an {@code EndpointList} already, it is returned unchanged.
      *
      * @param endpoints the endpoints
      */
@@ -50,14 +51,14 @@
     /**
      * Returns the hash of an endpoint's identity.
      *
-     * @param index its place in the list
+     * @param index the position of the endpoint in the list
      */
-    public long hash(int index) {
-        return hashes[index];
+    public long identityHash(int index) {
+        return identityHashes[index];
     }
 
-    /** Tells whether all endpoints have the same weight. */
-    public boolean even() {
-        return even;
+    /** Returns whether all endpoints have the same weight. */
+    public boolean uniformWeight() {
+        return uniformWeight;
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointState.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointState.java
@@ -1,30 +1,33 @@
 package org.radishpass.core.fleet;
 
 /**
- * The stages of an endpoint's life.
+ * The lifecycle states of an endpoint.
  *
  * @since 0.1.0
  */
 public enum EndpointState {
-    /** Known to the platform, not yet answering. */
+    /** Listed by the platform but not yet answering. */
     JOINING(false),
-    /** Answering and open to new work. */
+    /** Answering and accepting new requests. */
     READY(true),
-    /** Not answering; it gets nothing new while others answer. */
+    /**
+     * Suspected of having failed, since it does not answer. It gets no new requests unless one of its pools
+     * has more suspected than ready endpoints.
+     */
     SUSPECT(false),
-    /** Finishing what it has; it gets nothing new. */
+    /** Finishing the requests in progress and getting no new ones. */
     LEAVING(false),
-    /** Switched off as a spare. */
+    /** Sleeping as a spare. */
     ASLEEP(false);
 
-    private final boolean takesWork;
+    private final boolean acceptsNewRequests;
 
-    EndpointState(boolean takesWork) {
-        this.takesWork = takesWork;
+    EndpointState(boolean acceptsNewRequests) {
+        this.acceptsNewRequests = acceptsNewRequests;
     }
 
-    /** Tells whether an endpoint in this state may be given new work. */
-    public boolean takesWork() {
-        return takesWork;
+    /** Returns whether an endpoint in this state accepts new requests. */
+    public boolean acceptsNewRequests() {
+        return acceptsNewRequests;
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/FleetView.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/FleetView.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * An immutable picture of the fleet: its routers and its endpoints, indexed by pool.
+ * An immutable snapshot of the fleet: its routers, and its endpoints indexed by pool.
  *
  * @since 0.1.0
  */
@@ -28,7 +28,7 @@
         Map<String, List<Endpoint>> pools = new HashMap<>();
         endpoints.stream().sorted(Comparator.comparing(Endpoint::id)).forEach(endpoint -> {
             endpointsById.put(endpoint.id(), endpoint);
-            if (endpoint.state().takesWork()) {
+            if (endpoint.state().acceptsNewRequests()) {
                 endpoint.pools()
                         .forEach(pool -> pools.computeIfAbsent(pool, name -> new ArrayList<>())
                                 .add(endpoint));
@@ -40,59 +40,59 @@
         this.openByPool = Map.copyOf(pools);
     }
 
-    /** Returns a picture with nothing in it. */
+    /** Returns a snapshot without routers and endpoints. */
     public static FleetView empty() {
         return EMPTY;
     }
 
     /**
-     * Returns a picture of these routers and endpoints.
+     * Returns a snapshot of these routers and endpoints.
      *
-     * @param vms the routers' machines
-     * @param endpoints the endpoints in any state
+     * @param vms the machines that run routers
+     * @param endpoints the endpoints, in any state
      */
     public static FleetView of(Collection<Vm> vms, Collection<Endpoint> endpoints) {
         return new FleetView(vms, endpoints);
     }
 
-    /** Returns the routers' machines. */
+    /** Returns the machines that run routers. */
     public Collection<Vm> vms() {
         return vms.values();
     }
 
     /**
-     * Returns one machine.
+     * Returns a machine that runs a router, or empty if it is not in this snapshot.
      *
-     * @param id its identity
+     * @param id the identity of the machine
      */
     public Optional<Vm> vm(String id) {
         return Optional.ofNullable(vms.get(id));
     }
 
-    /** Returns the endpoints, in any state. */
+    /** Returns all endpoints, in any state. */
     public Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
 
     /**
-     * Returns one endpoint.
+     * Returns an endpoint, in any state, or empty if it is not in this snapshot.
      *
-     * @param id its identity
+     * @param id the identity of the endpoint
      */
     public Optional<Endpoint> endpoint(String id) {
         return Optional.ofNullable(endpoints.get(id));
     }
 
     /**
-     * Returns the endpoints open to new work of a pool, ordered by identity.
+     * Returns the endpoints that accept new requests of a pool, ordered by identity.
      *
-     * @param pool the pool's name
+     * @param pool the name of the pool
      */
     public List<Endpoint> open(String pool) {
         return openByPool.getOrDefault(pool, List.of());
     }
 
-    /** Returns the names of the pools that some endpoint is open to. */
+    /** Returns the names of the pools for which at least one endpoint accepts new requests. */
     public Set<String> openPools() {
         return openByPool.keySet();
     }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Runner.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Runner.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * An endpoint that runs a plain service.
+ * An endpoint that runs services other than language models.
  *
- * @param id the identity in the platform's VM list
- * @param incarnation which start of it this is
- * @param dataCentre where it stands
- * @param address where it takes requests
- * @param state the stage of its life
- * @param pools the services that it runs
- * @param weight its share of work relative to others
+ * @param id the identity of the endpoint in the platform's VM list
+ * @param incarnation the incarnation of the endpoint, which changes with each restart
+ * @param dataCentre the data centre in which the endpoint runs
+ * @param address the address at which the endpoint accepts requests
+ * @param state the lifecycle state of the endpoint
+ * @param pools the pools that the runner serves: the names of its services
+ * @param weight the endpoint's share of requests relative to other endpoints, above 0
  * @since 0.1.0
  */
 public record Runner(
@@ -23,7 +23,7 @@
         Set<String> pools,
         double weight)
         implements Endpoint {
-    /** Copies the pools and checks the weight. */
+    /** Makes a copy of the set of pools and checks the weight. */
     public Runner {
         pools = Set.copyOf(pools);
         if (!(weight > 0)) {
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public Runner inState(EndpointState newState) {
+    public Runner withState(EndpointState newState) {
         return new Runner(id, incarnation, dataCentre, address, newState, pools, weight);
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/VmKind.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/VmKind.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 
 /**
- * What the platform says a machine is for.
+ * The purpose of a machine according to the platform's VM list.
  *
  * @since 0.1.0
  */
 public enum VmKind {
-    /** It runs a router. */
+    /** The machine runs a router. */
     ROUTER,
-    /** It runs a model engine. */
+    /** The machine runs an {@link Engine}. */
     ENGINE,
-    /** It runs a plain service. */
+    /** The machine runs a {@link Runner}. */
     RUNNER;
 
     /**
-     * Finds a kind by its name in the list.
+     * Returns the kind with a given name in the VM list, or empty if there is none.
      *
-     * @param name the name, in any case
+     * @param name the name; upper and lower case are equivalent
      */
     public static Optional<VmKind> byName(String name) {
         for (VmKind kind : values()) {
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/VmListing.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/VmListing.java
@@ -1,14 +1,14 @@
 package org.radishpass.core.fleet;
 
 /**
- * One machine in the platform's list.
+ * An entry of the platform's VM list.
  *
- * @param id its identity
- * @param incarnation which start of it this is
- * @param kind what it is for
- * @param dataCentre where it stands
- * @param address where it answers, as seen from the data centre that asked
- * @param leaving whether the platform is about to stop it
+ * @param id the identity of the machine
+ * @param incarnation the incarnation of the machine, which changes with each restart
+ * @param kind the purpose of the machine
+ * @param dataCentre the data centre in which the machine runs
+ * @param address the address of the machine, as seen from the data centre that requested the list
+ * @param leaving whether the platform is about to stop the machine
  * @since 0.1.0
  */
 public record VmListing(
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Virtual machines, data centres and endpoints as the rest of the core sees them.
+ * Virtual machines, data centres and endpoints, and immutable snapshots of them.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/LoadBound.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/LoadBound.java
@@ -21,8 +21,8 @@
      * Returns the most requests that an endpoint may run once one more is placed in its pool.
      *
      * <p>That is the multiple of the mean, rounded down, but never less than the mean rounded up. So the limits of a
-     * pool's endpoints always add up to at least its load, the new request included: it finds room somewhere. From a mean
-     * of 4 on, a multiple of 1.25 is kept to the letter; below, whole requests allow no better.
+     * pool's endpoints always add up to at least its load, the new request included: it finds room somewhere. From a
+     * mean of 4 on, a multiple of 1.25 is kept to the letter; below, whole requests allow no better.
      *
      * @param pool the load of the pool without the new request
      * @param weight the endpoint's own weight
--- a/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
@@ -13,8 +13,9 @@
 /**
  * Chooses the router that keeps the account of an endpoint or of a pool.
  *
- * <p>An endpoint is owned by a router of its data centre, or of any where that has none. Routers with the same list choose alike. While lists differ two routers may each keep an account; the endpoint's
- * own report then shows each the other's grants as foreign load.
+ * <p>An endpoint is owned by a router of its data centre, or of any where that has none. Routers with the same list
+ * choose alike. While lists differ two routers may each keep an account; the endpoint's own report then shows each the
+ * other's grants as foreign load.
  *
  * @since 0.1.0
  */
@@ -30,7 +31,7 @@
      * @param vms the routers' machines
      */
     public static Optional<Vm> ofPool(String pool, Collection<Vm> vms) {
-        return Candidates.of(vms).highest("pool " + pool);
+        return Candidates.of(vms).highestScored("pool " + pool);
     }
 
     /**
@@ -50,7 +51,7 @@
                             .filter(vm -> vm.dataCentre().equals(place))
                             .toList()));
             Candidates candidates = near.vms().isEmpty() ? everywhere : near;
-            candidates.highest("endpoint " + endpoint.id()).ifPresent(owner -> owners.put(endpoint.id(), owner));
+            candidates.highestScored("endpoint " + endpoint.id()).ifPresent(owner -> owners.put(endpoint.id(), owner));
         }
         return Map.copyOf(owners);
     }
@@ -64,7 +65,7 @@
             return new Candidates(staying, hashes);
         }
 
-        private Optional<Vm> highest(String key) {
+        private Optional<Vm> highestScored(String key) {
             long keyHash = Rendezvous.hash(key);
             int best = -1;
             long bestScore = 0;
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
@@ -20,15 +20,15 @@
     /** The capacity of an endpoint that has not told its own. */
     public static final int UNKNOWN_CAPACITY = Integer.MAX_VALUE;
 
-    private final Map<SlotId, Held> slots = new HashMap<>();
+    private final Map<SlotId, HeldSlot> slots = new HashMap<>();
     private int capacity = UNKNOWN_CAPACITY;
-    private int foreign;
-    private int earlierForeign;
-    private int lessUrgent;
+    private int foreignRequests;
+    private int previousForeignRequests;
+    private int sheddableSlots;
 
     /** Returns the requests that run at the endpoint, as far as its owner can tell. */
     public int running() {
-        return slots.size() + Math.min(foreign, earlierForeign);
+        return slots.size() + Math.min(foreignRequests, previousForeignRequests);
     }
 
     /**
@@ -60,8 +60,8 @@
     public void adopt(SlotRequest request) {
         if (!slots.containsKey(request.slot())) {
             hold(request);
-            foreign = Math.max(0, foreign - 1);
-            earlierForeign = Math.max(0, earlierForeign - 1);
+            foreignRequests = Math.max(0, foreignRequests - 1);
+            previousForeignRequests = Math.max(0, previousForeignRequests - 1);
         }
     }
 
@@ -72,12 +72,12 @@
      * @return whether it was held
      */
     public boolean release(SlotId slot) {
-        Held held = slots.remove(slot);
+        HeldSlot held = slots.remove(slot);
         if (held == null) {
             return false;
         }
         if (held.sheddable()) {
-            lessUrgent--;
+            sheddableSlots--;
         }
         return true;
     }
@@ -90,8 +90,8 @@
      */
     public void report(int reportedRunning, int reportedCapacity) {
         capacity = reportedCapacity > 0 ? reportedCapacity : UNKNOWN_CAPACITY;
-        earlierForeign = foreign;
-        foreign = Math.max(0, reportedRunning - slots.size());
+        previousForeignRequests = foreignRequests;
+        foreignRequests = Math.max(0, reportedRunning - slots.size());
     }
 
     /**
@@ -114,14 +114,14 @@
         return removeIf((slot, held) -> slot.holder().equals(holder));
     }
 
-    private int removeIf(BiPredicate<SlotId, Held> gone) {
+    private int removeIf(BiPredicate<SlotId, HeldSlot> gone) {
         int removed = 0;
-        Iterator<Map.Entry<SlotId, Held>> each = slots.entrySet().iterator();
+        Iterator<Map.Entry<SlotId, HeldSlot>> each = slots.entrySet().iterator();
         while (each.hasNext()) {
-            Map.Entry<SlotId, Held> entry = each.next();
+            Map.Entry<SlotId, HeldSlot> entry = each.next();
             if (gone.test(entry.getKey(), entry.getValue())) {
                 each.remove();
-                lessUrgent -= entry.getValue().sheddable() ? 1 : 0;
+                sheddableSlots -= entry.getValue().sheddable() ? 1 : 0;
                 removed++;
             }
         }
@@ -133,14 +133,14 @@
             return false;
         }
         return !request.priority().sheddable()
-                || lessUrgent < request.priority().mostSlots(capacity);
+                || sheddableSlots < request.priority().maxSlots(capacity);
     }
 
     private void hold(SlotRequest request) {
         boolean sheddable = request.priority().sheddable();
-        slots.put(request.slot(), new Held(request.deadline(), sheddable));
-        lessUrgent += sheddable ? 1 : 0;
+        slots.put(request.slot(), new HeldSlot(request.deadline(), sheddable));
+        sheddableSlots += sheddable ? 1 : 0;
     }
 
-    private record Held(Instant deadline, boolean sheddable) {}
+    private record HeldSlot(Instant deadline, boolean sheddable) {}
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
@@ -20,11 +20,11 @@
  */
 public final class SlotBook {
     /** How long the others' part of a pool is used without news. */
-    public static final Duration POOL_MEMORY = Duration.ofSeconds(5);
+    public static final Duration POOL_LOAD_LIFETIME = Duration.ofSeconds(5);
 
     private final Map<String, SlotAccount> accounts = new HashMap<>();
     private final Map<String, Endpoint> owned = new HashMap<>();
-    private final Map<String, Others> othersByPool = new HashMap<>();
+    private final Map<String, OthersLoad> othersLoadByPool = new HashMap<>();
 
     /**
      * Sets the endpoints that this router owns. An account of one that it no longer owns is closed.
@@ -134,10 +134,12 @@
     /** Returns this owner's part of each pool that its endpoints are open to. */
     public Map<String, PoolLoad> parts() {
         Map<String, PoolLoad> parts = new HashMap<>();
-        owned.values().stream().filter(endpoint -> endpoint.state().takesWork()).forEach(endpoint -> {
-            PoolLoad load = new PoolLoad(running(endpoint.id()), endpoint.weight());
-            endpoint.pools().forEach(pool -> parts.merge(pool, load, PoolLoad::plus));
-        });
+        owned.values().stream()
+                .filter(endpoint -> endpoint.state().acceptsNewRequests())
+                .forEach(endpoint -> {
+                    PoolLoad load = new PoolLoad(running(endpoint.id()), endpoint.weight());
+                    endpoint.pools().forEach(pool -> parts.merge(pool, load, PoolLoad::plus));
+                });
         return parts;
     }
 
@@ -152,7 +154,7 @@
     public void total(String pool, PoolLoad total, PoolLoad ownPart, Instant now) {
         PoolLoad others = new PoolLoad(
                 Math.max(0, total.running() - ownPart.running()), Math.max(0, total.weight() - ownPart.weight()));
-        othersByPool.put(pool, new Others(others, now.plus(POOL_MEMORY)));
+        othersLoadByPool.put(pool, new OthersLoad(others, now.plus(POOL_LOAD_LIFETIME)));
     }
 
     /**
@@ -168,9 +170,9 @@
                 own = own.plus(new PoolLoad(running(endpoint.id()), endpoint.weight()));
             }
         }
-        Others others = othersByPool.get(pool);
+        OthersLoad others = othersLoadByPool.get(pool);
         return others == null || !others.deadline().isAfter(now) ? own : own.plus(others.load());
     }
 
-    private record Others(PoolLoad load, Instant deadline) {}
+    private record OthersLoad(PoolLoad load, Instant deadline) {}
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
@@ -32,12 +32,12 @@
  */
 public final class FleetDirectory {
     /** How long a machine that is neither listed nor heard of is remembered. */
-    public static final Duration MEMORY = Duration.ofSeconds(15);
+    public static final Duration RETENTION = Duration.ofSeconds(15);
 
     private static final double DEFAULT_WEIGHT = 1;
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Set<String> leaving = new HashSet<>();
+    private final Set<String> leavingIncarnations = new HashSet<>();
 
     /**
      * Takes the platform's list. An empty list is taken for an outage and changes nothing.
@@ -58,9 +58,9 @@
                 entries.put(listing.id(), entry);
                 news = true;
             }
-            news |= entry.listed(listing, now.plus(MEMORY));
+            news |= entry.updateListing(listing, now.plus(RETENTION));
             if (listing.leaving()) {
-                news |= leaving.add(mark(listing.id(), listing.incarnation()));
+                news |= leavingIncarnations.add(incarnationKey(listing.id(), listing.incarnation()));
             }
         }
         return entries.values().removeIf(entry -> !entry.forgetAt.isAfter(now)) || news;
@@ -84,10 +84,10 @@
         }
         entry.report = report;
         if (report.state() != EndpointState.SUSPECT) {
-            entry.forgetAt = now.plus(MEMORY);
+            entry.forgetAt = now.plus(RETENTION);
         }
         if (report.state() == EndpointState.LEAVING) {
-            leaving.add(mark(report.endpointId(), report.incarnation()));
+            leavingIncarnations.add(incarnationKey(report.endpointId(), report.incarnation()));
         }
         return last == null || !report.sameStanding(last);
     }
@@ -100,7 +100,7 @@
     public void left(String id) {
         Entry entry = entries.get(id);
         if (entry != null) {
-            leaving.add(mark(id, entry.incarnation()));
+            leavingIncarnations.add(incarnationKey(id, entry.incarnation()));
         }
     }
 
@@ -125,10 +125,10 @@
                 endpoints.add(endpoint(entry));
             }
         }
-        return FleetView.of(vms, withoutDoubtfulSuspicion(endpoints));
+        return FleetView.of(vms, readmitWhereMostAreSuspect(endpoints));
     }
 
-    private static List<Endpoint> withoutDoubtfulSuspicion(List<Endpoint> endpoints) {
+    private static List<Endpoint> readmitWhereMostAreSuspect(List<Endpoint> endpoints) {
         Map<String, Integer> balance = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
             int vote = endpoint.state() == EndpointState.SUSPECT ? 1 : 0;
@@ -139,7 +139,7 @@
                 .map(endpoint -> {
                     boolean doubted = endpoint.state() == EndpointState.SUSPECT
                             && endpoint.pools().stream().anyMatch(pool -> balance.getOrDefault(pool, 0) > 0);
-                    return doubted ? endpoint.inState(EndpointState.READY) : endpoint;
+                    return doubted ? endpoint.withState(EndpointState.READY) : endpoint;
                 })
                 .toList();
     }
@@ -178,10 +178,10 @@
     }
 
     private boolean isLeaving(Entry entry) {
-        return leaving.contains(mark(entry.listing.id(), entry.incarnation()));
+        return leavingIncarnations.contains(incarnationKey(entry.listing.id(), entry.incarnation()));
     }
 
-    private static String mark(String id, String incarnation) {
+    private static String incarnationKey(String id, String incarnation) {
         return id + '/' + incarnation;
     }
 
@@ -194,7 +194,7 @@
             this.listing = listing;
         }
 
-        private boolean listed(VmListing newListing, Instant newForgetAt) {
+        private boolean updateListing(VmListing newListing, Instant newForgetAt) {
             boolean news = !newListing.equals(listing);
             if (newListing.incarnation().compareTo(listing.incarnation()) >= 0) {
                 listing = newListing;
--- a/radishpass-core/src/main/java/org/radishpass/core/once/Ticket.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/Ticket.java
@@ -13,12 +13,12 @@
  * @since 0.1.0
  */
 public record Ticket(String router, String incarnation, long number) {
-    private static final String MARK = "ticket.";
-    private static final Pattern SHAPE = Pattern.compile("ticket\\.([^/]{1,100})\\.([0-9a-z]{1,20})\\.([0-9]{1,18})");
+    private static final String PREFIX = "ticket.";
+    private static final Pattern FORMAT = Pattern.compile("ticket\\.([^/]{1,100})\\.([0-9a-z]{1,20})\\.([0-9]{1,18})");
 
     /** Returns the text that a caller is given. */
     public String text() {
-        return MARK + router + '.' + incarnation + '.' + number;
+        return PREFIX + router + '.' + incarnation + '.' + number;
     }
 
     /**
@@ -28,7 +28,7 @@
      * @return empty if it is not a ticket but a key of the caller's own
      */
     public static Optional<Ticket> parse(String text) {
-        Matcher matcher = SHAPE.matcher(text);
+        Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
             return Optional.empty();
         }
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
@@ -21,14 +21,14 @@
  */
 public final class TicketLedger<R> {
     /** How long a ticket is remembered after it was given out. */
-    public static final Duration LIFE = Duration.ofMinutes(10);
+    public static final Duration TICKET_LIFETIME = Duration.ofMinutes(10);
 
-    private static final int MOST = 50_000;
+    private static final int MAX_TICKETS = 50_000;
 
     private final LinkedHashMap<Long, Entry<R>> entries = new LinkedHashMap<>();
     private final Map<String, Integer> openByWorkspace = new HashMap<>();
-    private final int mostByWorkspace;
-    private long last;
+    private final int maxPerWorkspace;
+    private long lastNumber;
 
     /**
      * Creates an empty ledger.
@@ -36,7 +36,7 @@
      * @param mostByWorkspace the most tickets that a workspace may have open
      */
     public TicketLedger(int mostByWorkspace) {
-        this.mostByWorkspace = mostByWorkspace;
+        this.maxPerWorkspace = mostByWorkspace;
     }
 
     /**
@@ -47,14 +47,14 @@
      * @return its number, or -1 if the workspace has too many open
      */
     public synchronized long issue(String workspace, Instant now) {
-        forget(now);
-        if (entries.size() >= MOST || openByWorkspace.getOrDefault(workspace, 0) >= mostByWorkspace) {
+        removeExpired(now);
+        if (entries.size() >= MAX_TICKETS || openByWorkspace.getOrDefault(workspace, 0) >= maxPerWorkspace) {
             return -1;
         }
-        last++;
-        entries.put(last, new Entry<>(workspace, now.plus(LIFE)));
+        lastNumber++;
+        entries.put(lastNumber, new Entry<>(workspace, now.plus(TICKET_LIFETIME)));
         openByWorkspace.merge(workspace, 1, Integer::sum);
-        return last;
+        return lastNumber;
     }
 
     /**
@@ -68,8 +68,8 @@
      */
     public synchronized TicketDecision<R> redeem(
             long number, String workspace, String requestHash, R run, Instant now) {
-        forget(now);
-        if (number < 1 || number > last) {
+        removeExpired(now);
+        if (number < 1 || number > lastNumber) {
             return new TicketDecision.NeverIssued<>();
         }
         Entry<R> entry = entries.get(number);
@@ -102,7 +102,7 @@
         }
     }
 
-    private void forget(Instant now) {
+    private void removeExpired(Instant now) {
         Iterator<Entry<R>> each = entries.values().iterator();
         while (each.hasNext()) {
             Entry<R> entry = each.next();
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
@@ -48,7 +48,7 @@
         }
         long workspaceHash = Rendezvous.hash(workspace);
         for (int i = 0; i < endpoints.size(); i++) {
-            if (Rendezvous.mix(workspaceHash, endpoints.hash(i)) == wanted) {
+            if (Rendezvous.mix(workspaceHash, endpoints.identityHash(i)) == wanted) {
                 return OptionalInt.of(i);
             }
         }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementPolicy.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementPolicy.java
@@ -45,7 +45,7 @@
     CONSISTENT_HASH(false) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
-            return Ranking.of(request.endpoints(), request.workspace(), request.chat(), 0, request.most());
+            return Ranking.of(request.endpoints(), request.workspace(), request.chat(), 0, request.maxEndpoints());
         }
     },
     /** The endpoint of the last turn, then rendezvous on workspace and chat, under a bound that owners count. */
@@ -53,12 +53,13 @@
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
             List<Endpoint> ranked = Ranking.of(
-                    request.endpoints(), request.workspace(), request.chat(), request.spread(), request.most());
+                    request.endpoints(), request.workspace(), request.chat(), request.spread(), request.maxEndpoints());
             EndpointList open = EndpointList.of(request.endpoints());
-            AffinityToken.find(request.affinity(), request.workspace(), open).ifPresent(index -> {
-                ranked.remove(open.get(index));
-                ranked.add(0, open.get(index));
-            });
+            AffinityToken.find(request.affinityToken(), request.workspace(), open)
+                    .ifPresent(index -> {
+                        ranked.remove(open.get(index));
+                        ranked.add(0, open.get(index));
+                    });
             return ranked;
         }
     };
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
@@ -12,8 +12,8 @@
  * @param workspace the workspace that asks
  * @param chat the chat it belongs to
  * @param spread how many endpoints the workspace's chats are spread over; 0 for all
- * @param affinity the token of the chat's last turn, if the caller brought one
- * @param most the most endpoints that may be tried
+ * @param affinityToken the token of the chat's last turn, if the caller brought one
+ * @param maxEndpoints the most endpoints that may be tried
  * @param loads what is believed of the endpoints' load
  * @param sequence a number that grows with each request of this router
  * @param random the source of chance
@@ -24,8 +24,8 @@
         String workspace,
         String chat,
         int spread,
-        @Nullable String affinity,
-        int most,
+        @Nullable String affinityToken,
+        int maxEndpoints,
         LoadEstimate loads,
         long sequence,
         Random random) {}
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
@@ -31,17 +31,17 @@
         EndpointList list = EndpointList.of(endpoints);
         long chatHash = Rendezvous.hash(workspace + '\n' + chat);
         if (spread <= 0 || spread >= list.size()) {
-            return best(list, chatHash, most);
+            return highestScored(list, chatHash, most);
         }
-        List<Endpoint> byWorkspace = best(list, Rendezvous.hash(workspace), Math.max(spread, most));
+        List<Endpoint> byWorkspace = highestScored(list, Rendezvous.hash(workspace), Math.max(spread, most));
         List<Endpoint> ranked = new ArrayList<>(byWorkspace.size());
-        ranked.addAll(best(EndpointList.of(byWorkspace.subList(0, spread)), chatHash, spread));
+        ranked.addAll(highestScored(EndpointList.of(byWorkspace.subList(0, spread)), chatHash, spread));
         ranked.addAll(byWorkspace.subList(spread, byWorkspace.size()));
         return ranked.size() <= most ? ranked : new ArrayList<>(ranked.subList(0, most));
     }
 
     /** Keeps the best in order while it looks at each endpoint once. */
-    private static List<Endpoint> best(EndpointList list, long keyHash, int most) {
+    private static List<Endpoint> highestScored(EndpointList list, long keyHash, int most) {
         int kept = 0;
         int wanted = Math.min(most, list.size());
         double[] scores = new double[wanted];
@@ -69,9 +69,10 @@
 
     /** Among endpoints of equal weight the logarithm changes no order, and is left out. */
     private static double score(EndpointList list, int index, long keyHash) {
-        if (list.even()) {
-            return Rendezvous.mix(keyHash, list.hash(index)) >>> 11;
+        if (list.uniformWeight()) {
+            return Rendezvous.mix(keyHash, list.identityHash(index)) >>> 11;
         }
-        return Rendezvous.score(keyHash, list.hash(index), list.get(index).weight());
+        return Rendezvous.score(
+                keyHash, list.identityHash(index), list.get(index).weight());
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
@@ -11,11 +11,11 @@
  */
 public final class Rendezvous {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
-    private static final double UNIT = 0x1.0p-53;
-    private static final int UNUSED_BITS = 11;
+    private static final double UNIT_SCALE = 0x1.0p-53;
+    private static final int DROPPED_BITS = 11;
     private static final int SHIFT = 32;
-    private static final long FIRST_MIX = 0xD6E8FEB86659FD93L;
-    private static final long MEMBER_MIX = 0x9E3779B97F4A7C15L;
+    private static final long FINAL_MULTIPLIER = 0xD6E8FEB86659FD93L;
+    private static final long MEMBER_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private Rendezvous() {
         // static methods only
@@ -37,9 +37,9 @@
      * @param memberHash the {@link #hash} of the member's identity
      */
     public static long mix(long keyHash, long memberHash) {
-        long mixed = keyHash ^ (memberHash * MEMBER_MIX);
-        mixed = (mixed ^ (mixed >>> SHIFT)) * FIRST_MIX;
-        mixed = (mixed ^ (mixed >>> SHIFT)) * FIRST_MIX;
+        long mixed = keyHash ^ (memberHash * MEMBER_MULTIPLIER);
+        mixed = (mixed ^ (mixed >>> SHIFT)) * FINAL_MULTIPLIER;
+        mixed = (mixed ^ (mixed >>> SHIFT)) * FINAL_MULTIPLIER;
         return mixed ^ (mixed >>> SHIFT);
     }
 
@@ -52,7 +52,7 @@
      * @param weight the member's weight, above 0
      */
     public static double score(long keyHash, long memberHash, double weight) {
-        double unit = ((mix(keyHash, memberHash) >>> UNUSED_BITS) + 0.5) * UNIT;
+        double unit = ((mix(keyHash, memberHash) >>> DROPPED_BITS) + 0.5) * UNIT_SCALE;
         return -weight / Math.log(unit);
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/retry/RetryBudget.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/retry/RetryBudget.java
@@ -11,11 +11,11 @@
  * @since 0.1.0
  */
 public final class RetryBudget {
-    private static final long WHOLE = 1_000;
+    private static final long UNITS_PER_RETRY = 1_000;
 
-    private final long earned;
-    private final long most;
-    private final AtomicLong saved;
+    private final long unitsPerFirstAttempt;
+    private final long maxUnits;
+    private final AtomicLong availableUnits;
 
     /**
      * Creates a budget that starts full.
@@ -24,18 +24,19 @@
      * @param most the most retries that can be saved up
      */
     public RetryBudget(double ratio, int most) {
-        this.earned = Math.round(ratio * WHOLE);
-        this.most = most * WHOLE;
-        this.saved = new AtomicLong(this.most);
+        this.unitsPerFirstAttempt = Math.round(ratio * UNITS_PER_RETRY);
+        this.maxUnits = most * UNITS_PER_RETRY;
+        this.availableUnits = new AtomicLong(this.maxUnits);
     }
 
     /** Counts a first attempt. */
     public void firstAttempt() {
-        saved.getAndUpdate(value -> Math.min(most, value + earned));
+        availableUnits.getAndUpdate(value -> Math.min(maxUnits, value + unitsPerFirstAttempt));
     }
 
     /** Spends one retry if there is one. */
     public boolean tryRetry() {
-        return saved.getAndUpdate(value -> value >= WHOLE ? value - WHOLE : value) >= WHOLE;
+        return availableUnits.getAndUpdate(value -> value >= UNITS_PER_RETRY ? value - UNITS_PER_RETRY : value)
+                >= UNITS_PER_RETRY;
     }
 }
--- a/radishpass-core/src/test/java/org/radishpass/core/load/SlotBookTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/load/SlotBookTest.java
@@ -127,7 +127,7 @@
         book.total(Endpoints.POOL, new PoolLoad(10, 5), new PoolLoad(2, 1), NOW);
 
         assertThat(book.poolLoad(Endpoints.POOL, NOW)).isEqualTo(new PoolLoad(8, 5));
-        assertThat(book.poolLoad(Endpoints.POOL, NOW.plus(SlotBook.POOL_MEMORY)))
+        assertThat(book.poolLoad(Endpoints.POOL, NOW.plus(SlotBook.POOL_LOAD_LIFETIME)))
                 .isEqualTo(new PoolLoad(0, 1));
     }
 
--- a/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
@@ -55,7 +55,7 @@
         readyEngine("a");
         readyEngine("b");
 
-        directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.MEMORY));
+        directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.RETENTION));
 
         assertThat(open()).containsExactly("b");
     }
--- a/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
@@ -47,7 +47,7 @@
 
     @Test
     void aForgottenTicketMayHaveRun() {
-        Instant later = NOW.plus(TicketLedger.LIFE);
+        Instant later = NOW.plus(TicketLedger.TICKET_LIFETIME);
 
         assertThat(ledger.redeem(number, "w", "hash", "one", later)).isInstanceOf(TicketDecision.Forgotten.class);
     }
@@ -64,7 +64,7 @@
 
         assertThat(ledger.issue("w", NOW)).isEqualTo(-1);
         assertThat(ledger.issue("x", NOW)).isGreaterThan(0);
-        assertThat(ledger.issue("w", NOW.plus(TicketLedger.LIFE))).isGreaterThan(0);
+        assertThat(ledger.issue("w", NOW.plus(TicketLedger.TICKET_LIFETIME))).isGreaterThan(0);
     }
 
     @Property(tries = 200, seed = "55")
