--- a/radishpass-core/src/main/java/org/radishpass/core/lease/LeaseRules.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/lease/LeaseRules.java
@@ -4,66 +4,67 @@
 import java.time.Instant;
 
 /**
- * The times that make a lease safe.
+ * The durations that make a lease safe, and the rules that follow from them.
  *
- * <p>A holder counts from before it sent the request, on its monotonic clock, and sends an order only if the order will
- * have expired before the lease has. Others wait out the deadline and the bound on how far clocks differ. So the orders
- * of two holders never overlap, whether or not the endpoint checks fencing numbers.
+ * <p>A holder measures the age of its lease on its monotonic clock, starting before it sends the request for the lease.
+ * It sends an order only if the order expires before the lease does. Another process takes the lease only when the
+ * deadline has passed by more than the maximum clock difference. So the orders of two holders never overlap, even if
+ * the endpoint does not check fencing numbers.
  *
- * @param term how long a lease runs from the moment it was asked for
- * @param orderLife how long an order may take to arrive
- * @param clockBound the most that two clocks differ
+ * @param term the time for which a lease is valid, from the moment at which the holder requested it
+ * @param orderLife the time after which an order expires, from the moment at which it was sent
+ * @param clockBound the maximum difference between the clocks of two processes
  * @since 0.1.0
  */
 public record LeaseRules(Duration term, Duration orderLife, Duration clockBound) {
-    /** The times used where nothing else is set. */
+    /** The default durations. */
     public static final LeaseRules DEFAULT =
             new LeaseRules(Duration.ofSeconds(12), Duration.ofSeconds(3), Duration.ofSeconds(2));
 
-    /** Checks that a holder has time to act at all. */
+    /** Checks that the term leaves a holder time to send orders. */
     public LeaseRules {
         if (term.compareTo(orderLife.multipliedBy(2)) <= 0) {
-            throw new IllegalArgumentException("the term must be over twice the life of an order");
+            throw new IllegalArgumentException("the lease term must be more than twice the lifetime of an order");
         }
     }
 
     /**
-     * Tells whether another may take a lease.
+     * Returns whether a process other than the holder may take a lease.
      *
-     * @param lease the lease
-     * @param now the time by the other's clock
+     * @param lease the lease as recorded in the store
+     * @param now the current time by the clock of the process that wants the lease
      */
     public boolean mayTake(Lease lease, Instant now) {
         return lease.vacant() || now.isAfter(lease.deadline().plus(clockBound));
     }
 
     /**
-     * Returns the deadline to write into the store.
+     * Returns the deadline to record in the store for a lease that is requested now.
      *
-     * @param now the time by the holder's clock, before the request is sent
+     * @param now the current time by the holder's clock, read before the request is sent
      */
     public Instant deadlineFrom(Instant now) {
         return now.plus(term);
     }
 
     /**
-     * Tells whether a holder may still send an order.
+     * Returns whether a holder may still send an order.
      *
-     * @param askedAtNanos the monotonic time before the lease was last asked for
-     * @param nowNanos the monotonic time now
+     * @param requestedAtNanos the monotonic time just before the holder last requested the lease, in nanoseconds
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
-    public boolean mayOrder(long askedAtNanos, long nowNanos) {
-        long elapsed = nowNanos - askedAtNanos;
+    public boolean mayOrder(long requestedAtNanos, long nowNanos) {
+        long elapsed = nowNanos - requestedAtNanos;
         return elapsed >= 0 && elapsed < term.minus(orderLife).toNanos();
     }
 
     /**
-     * Tells whether it is time to renew.
+     * Returns whether a holder should renew its lease, which is the case after a third of the term.
      *
-     * @param askedAtNanos the monotonic time before the lease was last asked for
-     * @param nowNanos the monotonic time now
+     * @param requestedAtNanos the monotonic time just before the holder last requested the lease, in nanoseconds
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
-    public boolean dueForRenewal(long askedAtNanos, long nowNanos) {
-        return nowNanos - askedAtNanos >= term.dividedBy(3).toNanos();
+    public boolean dueForRenewal(long requestedAtNanos, long nowNanos) {
+        return nowNanos - requestedAtNanos >= term.dividedBy(3).toNanos();
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/lease/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/lease/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases with fencing numbers, safe against pauses and differing clocks.
+ * Leases with fencing numbers that stay safe when processes pause and clocks differ.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
@@ -11,11 +11,13 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * Chooses the router that keeps the account of an endpoint or of a pool.
+ * Chooses the owner of an endpoint or of a pool. The owner is the router that keeps the load account of the endpoint or
+ * pool.
  *
- * <p>An endpoint is owned by a router of its data centre, or of any where that has none. Routers with the same list
- * choose alike. While lists differ two routers may each keep an account; the endpoint's own report then shows each the
- * other's grants as foreign load.
+ * <p>The owner of an endpoint is a router in the endpoint's data centre, or any router if that data centre has none.
+ * Routers with the same list of routers choose the same owner. While their lists differ, two routers may each keep an
+ * account of the same endpoint. Each of them then learns of the slots that the other one granted from the endpoint's
+ * own report, and counts them as foreign load.
  *
  * @since 0.1.0
  */
@@ -25,38 +27,38 @@
     }
 
     /**
-     * Returns the router that adds up the load of a pool.
+     * Returns the router that aggregates the load of a pool, or empty if there is none.
      *
-     * @param pool the pool
-     * @param vms the routers' machines
+     * @param pool the name of the pool
+     * @param vms the machines that run routers
      */
     public static Optional<Vm> ofPool(String pool, Collection<Vm> vms) {
         return Candidates.of(vms).highestScored("pool " + pool);
     }
 
     /**
-     * Returns the owner of each endpoint, by the endpoint's identity.
+     * Returns the owner of each endpoint, by the endpoint's identity. The map is empty if there is no router.
      *
      * @param endpoints the endpoints
-     * @param vms the routers' machines
+     * @param vms the machines that run routers
      */
     public static Map<String, Vm> ofAll(Collection<Endpoint> endpoints, Collection<Vm> vms) {
         Candidates everywhere = Candidates.of(vms);
-        Map<DataCentre, Candidates> byPlace = new HashMap<>();
+        Map<DataCentre, Candidates> byDataCentre = new HashMap<>();
         Map<String, Vm> owners = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
-            Candidates near = byPlace.computeIfAbsent(
+            Candidates local = byDataCentre.computeIfAbsent(
                     endpoint.dataCentre(),
-                    place -> Candidates.of(vms.stream()
-                            .filter(vm -> vm.dataCentre().equals(place))
+                    dataCentre -> Candidates.of(vms.stream()
+                            .filter(vm -> vm.dataCentre().equals(dataCentre))
                             .toList()));
-            Candidates candidates = near.vms().isEmpty() ? everywhere : near;
+            Candidates candidates = local.vms().isEmpty() ? everywhere : local;
             candidates.highestScored("endpoint " + endpoint.id()).ifPresent(owner -> owners.put(endpoint.id(), owner));
         }
         return Map.copyOf(owners);
     }
 
-    /** Routers that may own something, with the hashes of their identities. */
+    /** The routers that are eligible as owners, with the hashes of their identities. */
     private record Candidates(List<Vm> vms, long[] hashes) {
         private static Candidates of(Collection<Vm> vms) {
             List<Vm> staying = vms.stream().filter(vm -> !vm.leaving()).toList();
--- a/radishpass-core/src/main/java/org/radishpass/core/load/PoolLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/PoolLedger.java
@@ -5,9 +5,11 @@
 import java.util.Map;
 
 /**
- * Adds up the load of pools from the parts that owners of endpoints report.
+ * Aggregates the load of pools from the parts that the owners of endpoints report.
  *
- * <p>A part counts until its deadline, so that the share of an owner that is gone falls out. Confined to one thread.
+ * <p>Each part counts until its deadline, so that the part of an owner that has stopped drops out.
+ *
+ * <p>Not thread-safe.
  *
  * @since 0.1.0
  */
@@ -15,22 +17,22 @@
     private final Map<String, Map<String, Part>> partsByPool = new HashMap<>();
 
     /**
-     * Takes an owner's part of a pool.
+     * Records an owner's part of the load of a pool, in place of its earlier one.
      *
-     * @param pool the pool
-     * @param owner the router that owns the endpoints counted
-     * @param load their load
-     * @param deadline until when it counts
+     * @param pool the name of the pool
+     * @param owner the identity of the router that owns the counted endpoints
+     * @param load the load of these endpoints
+     * @param deadline the time until which the part counts, by this process's clock
      */
     public void report(String pool, String owner, PoolLoad load, Instant deadline) {
         partsByPool.computeIfAbsent(pool, name -> new HashMap<>()).put(owner, new Part(load, deadline));
     }
 
     /**
-     * Returns the sum of a pool's parts that still count.
+     * Returns the load of a pool: the sum of its parts whose deadline has not passed.
      *
-     * @param pool the pool
-     * @param now the time by this process's clock
+     * @param pool the name of the pool
+     * @param now the current time by this process's clock
      */
     public PoolLoad total(String pool, Instant now) {
         Map<String, Part> parts = partsByPool.get(pool);
--- a/radishpass-core/src/main/java/org/radishpass/core/load/PoolLoad.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/PoolLoad.java
@@ -1,20 +1,20 @@
 package org.radishpass.core.load;
 
 /**
- * The load of all endpoints of a pool together.
+ * The combined load of the endpoints of a pool, or of a part of them.
  *
- * @param running the requests that run there
+ * @param running the number of requests in progress at the endpoints
  * @param weight the sum of the endpoints' weights
  * @since 0.1.0
  */
 public record PoolLoad(double running, double weight) {
-    /** A pool of which nothing is known. */
+    /** The load of a pool without known endpoints. */
     public static final PoolLoad NONE = new PoolLoad(0, 0);
 
     /**
-     * Returns the sum of two parts of a pool.
+     * Returns the sum of the loads of two disjoint parts of a pool.
      *
-     * @param other the other part
+     * @param other the load of the other part
      */
     public PoolLoad plus(PoolLoad other) {
         return new PoolLoad(running + other.running, weight + other.weight);
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SliverBound.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SliverBound.java
@@ -4,10 +4,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The bound that a router keeps on its own part of the traffic, for when an endpoint's owner cannot be asked.
+ * Applies the load bound to the requests of this router alone, for when an endpoint's owner cannot be reached.
  *
- * <p>If each router keeps its own part within the multiple of its own mean, rounded up, then the sum of all is within
- * the multiple of the common mean plus one request for each router. Safe for threads.
+ * <p>If each router keeps its requests at an endpoint within the multiple of its own mean, rounded up, then the
+ * requests of all routers at that endpoint stay within the multiple of the overall mean, plus one request for each
+ * router.
+ *
+ * <p>Thread-safe.
  *
  * @since 0.1.0
  */
@@ -15,9 +18,9 @@
     private final ConcurrentHashMap<String, AtomicInteger> running = new ConcurrentHashMap<>();
 
     /**
-     * Returns this router's own requests at an endpoint.
+     * Returns the number of requests that this router has in progress at an endpoint.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public int running(String endpointId) {
         AtomicInteger count = running.get(endpointId);
@@ -25,18 +28,18 @@
     }
 
     /**
-     * Counts a request that goes out.
+     * Records that this router sends a request to an endpoint.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public void started(String endpointId) {
         running.computeIfAbsent(endpointId, id -> new AtomicInteger()).incrementAndGet();
     }
 
     /**
-     * Counts a request that has ended.
+     * Records that a request of this router at an endpoint has ended.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public void ended(String endpointId) {
         AtomicInteger count = running.get(endpointId);
@@ -46,12 +49,12 @@
     }
 
     /**
-     * Tells whether one more request keeps to the bound.
+     * Returns whether one more request at an endpoint stays within the bound.
      *
-     * @param endpointId the endpoint
-     * @param weight its weight
-     * @param pool this router's own part of the pool's load
-     * @param bound the bound
+     * @param endpointId the identity of the endpoint
+     * @param weight the weight of the endpoint
+     * @param pool the load of the pool, counting only requests of this router
+     * @param bound the load bound to apply
      */
     public boolean allows(String endpointId, double weight, PoolLoad pool, LoadBound bound) {
         return running(endpointId) + 1 <= bound.limit(pool, weight);
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
@@ -7,17 +7,18 @@
 import java.util.function.BiPredicate;
 
 /**
- * The exact account of one endpoint's slots, kept by its owner.
+ * The account of one endpoint's slots, kept by the endpoint's owner.
  *
- * <p>The account knows the slots that it granted. What the endpoint reports beyond them, work that came through another
- * owner, is added as foreign load; the lower of the last two reports counts, since a report lags behind releases.
+ * <p>The account lists the slots that this owner granted or adopted. Requests that the endpoint reports beyond these
+ * slots came through another owner and are added as foreign load. The account uses the lower foreign load of the last
+ * two reports, because a report may still include requests whose slots were released since.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1.0
  */
 public final class SlotAccount {
-    /** The capacity of an endpoint that has not told its own. */
+    /** The capacity assumed for an endpoint that has not reported one. */
     public static final int UNKNOWN_CAPACITY = Integer.MAX_VALUE;
 
     private final Map<SlotId, HeldSlot> slots = new HashMap<>();
@@ -26,17 +27,17 @@
     private int previousForeignRequests;
     private int sheddableSlots;
 
-    /** Returns the requests that run at the endpoint, as far as its owner can tell. */
+    /** Returns the number of requests in progress at the endpoint, as far as its owner knows. */
     public int running() {
         return slots.size() + Math.min(foreignRequests, previousForeignRequests);
     }
 
     /**
-     * Grants or denies a slot. Asking again for a slot that is held answers as before.
+     * Grants or denies a slot. A repeated request for a slot that is held already is granted and holds no second slot.
      *
-     * @param request the slot that is asked for
-     * @param pool the load of the request's pool
-     * @param weight the endpoint's weight
+     * @param request the requested slot
+     * @param pool the load of the pool to which the request belongs
+     * @param weight the weight of the endpoint
      */
     public SlotAnswer reserve(SlotRequest request, PoolLoad pool, double weight) {
         if (slots.containsKey(request.slot())) {
@@ -53,9 +54,9 @@
     }
 
     /**
-     * Takes over a slot that another owner granted.
+     * Adopts a slot that another owner granted, so that it no longer counts as foreign load.
      *
-     * @param request the slot that is held already
+     * @param request the slot, which its holder holds already
      */
     public void adopt(SlotRequest request) {
         if (!slots.containsKey(request.slot())) {
@@ -66,10 +67,10 @@
     }
 
     /**
-     * Frees a slot.
+     * Releases a slot.
      *
-     * @param slot the slot
-     * @return whether it was held
+     * @param slot the slot to release
+     * @return whether the slot was held
      */
     public boolean release(SlotId slot) {
         HeldSlot held = slots.remove(slot);
@@ -83,10 +84,11 @@
     }
 
     /**
-     * Takes the endpoint's own report.
+     * Applies the endpoint's own report of its load.
      *
-     * @param reportedRunning the requests that it says it runs
-     * @param reportedCapacity the requests that it says it can run at once
+     * @param reportedRunning the number of requests in progress, as the endpoint reported it
+     * @param reportedCapacity the number of requests that the endpoint can run concurrently; 0 if it does not report
+     *     one
      */
     public void report(int reportedRunning, int reportedCapacity) {
         capacity = reportedCapacity > 0 ? reportedCapacity : UNKNOWN_CAPACITY;
@@ -95,32 +97,32 @@
     }
 
     /**
-     * Frees the slots whose deadline has passed.
+     * Releases the slots whose deadline has passed.
      *
-     * @param now the time by this process's clock
-     * @return how many lapsed
+     * @param now the current time by this process's clock
+     * @return the number of slots released
      */
     public int expire(Instant now) {
         return removeIf((slot, held) -> !held.deadline().isAfter(now));
     }
 
     /**
-     * Frees all slots of a router that is gone.
+     * Releases all slots of a router that has stopped.
      *
-     * @param holder the router
-     * @return how many it held
+     * @param holder the identity of the router that holds the slots
+     * @return the number of slots released
      */
     public int releaseAllOf(String holder) {
         return removeIf((slot, held) -> slot.holder().equals(holder));
     }
 
-    private int removeIf(BiPredicate<SlotId, HeldSlot> gone) {
+    private int removeIf(BiPredicate<SlotId, HeldSlot> condition) {
         int removed = 0;
-        Iterator<Map.Entry<SlotId, HeldSlot>> each = slots.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<SlotId, HeldSlot> entry = each.next();
-            if (gone.test(entry.getKey(), entry.getValue())) {
-                each.remove();
+        Iterator<Map.Entry<SlotId, HeldSlot>> iterator = slots.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<SlotId, HeldSlot> entry = iterator.next();
+            if (condition.test(entry.getKey(), entry.getValue())) {
+                iterator.remove();
                 sheddableSlots -= entry.getValue().sheddable() ? 1 : 0;
                 removed++;
             }
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
@@ -9,17 +9,18 @@
 import org.radishpass.core.fleet.Endpoint;
 
 /**
- * The accounts of the endpoints that a router owns, and what it knows of the pools around them.
+ * The slot accounts of the endpoints that a router owns, and the load of the pools to which these endpoints belong.
  *
- * <p>The load of a pool is what its other owners had at the last exchange plus what this owner has now. If no exchange
- * succeeds for a while, the mean of the own endpoints stands in for the pool's.
+ * <p>The load of a pool is the load that the other owners had at the last exchange plus the current load of the
+ * endpoints owned here. If no exchange succeeds within {@link #POOL_LOAD_LIFETIME}, the load of the endpoints owned
+ * here is used in place of the load of the pool.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1.0
  */
 public final class SlotBook {
-    /** How long the others' part of a pool is used without news. */
+    /** How long the other owners' part of a pool's load is used after an exchange. */
     public static final Duration POOL_LOAD_LIFETIME = Duration.ofSeconds(5);
 
     private final Map<String, SlotAccount> accounts = new HashMap<>();
@@ -27,9 +28,9 @@
     private final Map<String, OthersLoad> othersLoadByPool = new HashMap<>();
 
     /**
-     * Sets the endpoints that this router owns. An account of one that it no longer owns is closed.
+     * Sets the endpoints that this router owns. The accounts of endpoints that it no longer owns are dropped.
      *
-     * @param endpoints the endpoints
+     * @param endpoints the endpoints that this router owns
      */
     public void own(Collection<Endpoint> endpoints) {
         owned.clear();
@@ -46,10 +47,10 @@
     /**
      * Grants or denies a slot.
      *
-     * @param endpointId the endpoint
-     * @param pool the pool whose mean counts
-     * @param request the slot
-     * @param now the time by this process's clock
+     * @param endpointId the identity of the endpoint
+     * @param pool the name of the pool, whose mean load determines the bound
+     * @param request the requested slot
+     * @param now the current time by this process's clock
      */
     public SlotAnswer reserve(String endpointId, String pool, SlotRequest request, Instant now) {
         Endpoint endpoint = owned.get(endpointId);
@@ -64,10 +65,10 @@
     }
 
     /**
-     * Takes over a slot that another owner granted.
+     * Adopts a slot that another owner granted. Has no effect if this router does not own the endpoint.
      *
-     * @param endpointId the endpoint
-     * @param request the slot
+     * @param endpointId the identity of the endpoint
+     * @param request the slot, which its holder holds already
      */
     public void adopt(String endpointId, SlotRequest request) {
         SlotAccount account = accounts.get(endpointId);
@@ -77,10 +78,10 @@
     }
 
     /**
-     * Frees a slot.
+     * Releases a slot. Has no effect if this router does not own the endpoint or the slot is not held.
      *
-     * @param endpointId the endpoint
-     * @param slot the slot
+     * @param endpointId the identity of the endpoint
+     * @param slot the slot to release
      */
     public void release(String endpointId, SlotId slot) {
         SlotAccount account = accounts.get(endpointId);
@@ -90,11 +91,11 @@
     }
 
     /**
-     * Takes an endpoint's own report of its load.
+     * Applies an endpoint's own report of its load. Has no effect if this router does not own the endpoint.
      *
-     * @param endpointId the endpoint
-     * @param running the requests that it runs
-     * @param capacity the requests that it can run at once
+     * @param endpointId the identity of the endpoint
+     * @param running the number of requests in progress at the endpoint
+     * @param capacity the number of requests that the endpoint can run concurrently; 0 if it does not report one
      */
     public void report(String endpointId, int running, int capacity) {
         SlotAccount account = accounts.get(endpointId);
@@ -104,34 +105,34 @@
     }
 
     /**
-     * Frees the slots of a router that is gone.
+     * Releases the slots of a router that has stopped.
      *
-     * @param holder the router
+     * @param holder the identity of the router that holds the slots
      */
     public void releaseAllOf(String holder) {
         accounts.values().forEach(account -> account.releaseAllOf(holder));
     }
 
     /**
-     * Frees the slots whose deadline has passed.
+     * Releases the slots whose deadline has passed.
      *
-     * @param now the time by this process's clock
+     * @param now the current time by this process's clock
      */
     public void expire(Instant now) {
         accounts.values().forEach(account -> account.expire(now));
     }
 
     /**
-     * Returns the load of an owned endpoint.
+     * Returns the number of requests in progress at an owned endpoint; 0 if this router does not own the endpoint.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public int running(String endpointId) {
         SlotAccount account = accounts.get(endpointId);
         return account == null ? 0 : account.running();
     }
 
-    /** Returns this owner's part of each pool that its endpoints are open to. */
+    /** Returns the load of the owned endpoints that accept new requests, by pool. */
     public Map<String, PoolLoad> parts() {
         Map<String, PoolLoad> parts = new HashMap<>();
         owned.values().stream()
@@ -144,12 +145,12 @@
     }
 
     /**
-     * Takes the load of a whole pool.
+     * Records the load of a whole pool, as received in an exchange.
      *
-     * @param pool the pool
-     * @param total its load
-     * @param ownPart this owner's part that the total was added up with
-     * @param now the time by this process's clock
+     * @param pool the name of the pool
+     * @param total the load of the pool
+     * @param ownPart this owner's part as it is included in the total
+     * @param now the current time by this process's clock
      */
     public void total(String pool, PoolLoad total, PoolLoad ownPart, Instant now) {
         PoolLoad others = new PoolLoad(
@@ -158,10 +159,10 @@
     }
 
     /**
-     * Returns the load of a pool as far as it is known here.
+     * Returns the load of a pool, as far as this router knows.
      *
-     * @param pool the pool
-     * @param now the time by this process's clock
+     * @param pool the name of the pool
+     * @param now the current time by this process's clock
      */
     public PoolLoad poolLoad(String pool, Instant now) {
         PoolLoad own = PoolLoad.NONE;
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotId.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotId.java
@@ -1,10 +1,10 @@
 package org.radishpass.core.load;
 
 /**
- * Names a slot.
+ * The identity of a slot.
  *
- * @param holder the router that holds it
- * @param number unique among the holder's slots
+ * @param holder the identity of the router that holds the slot
+ * @param number a number that is unique among the slots of the holder
  * @since 0.1.0
  */
 public record SlotId(String holder, long number) {}
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotRequest.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotRequest.java
@@ -4,12 +4,12 @@
 import org.radishpass.core.admission.PriorityClass;
 
 /**
- * Asks for a slot at an endpoint.
+ * A request for a slot at an endpoint. A slot is the permission to have one request in progress there.
  *
- * @param slot the slot
- * @param priority the class of the request
- * @param bound the bound of the request's workspace
- * @param deadline when the slot lapses, by the owner's clock
+ * @param slot the identity of the slot
+ * @param priority the priority class of the request that will use the slot
+ * @param bound the load bound that applies to the workspace of that request
+ * @param deadline the time at which the slot expires, by the clock of the endpoint's owner
  * @since 0.1.0
  */
 public record SlotRequest(SlotId slot, PriorityClass priority, LoadBound bound, Instant deadline) {}
--- a/radishpass-core/src/main/java/org/radishpass/core/load/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Accounts of the load of endpoints and the bound that keeps them even.
+ * Load accounting for endpoints and pools, and the bound that keeps the load of endpoints even.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/EndpointReport.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/EndpointReport.java
@@ -4,15 +4,15 @@
 import org.radishpass.core.fleet.EndpointState;
 
 /**
- * What an endpoint said of itself, or that it did not answer.
+ * A report of an endpoint on itself, or the observation that the endpoint did not answer.
  *
- * @param endpointId the endpoint
- * @param incarnation which start of it; a later start sorts after an earlier one
- * @param sequence grows with each report of an incarnation
- * @param state the stage of its life
- * @param pools the pools that it serves
- * @param running the requests that it runs
- * @param capacity the requests that it can run at once; 0 if it does not say
+ * @param endpointId the identity of the endpoint
+ * @param incarnation the incarnation of the endpoint; a later one sorts after an earlier one
+ * @param sequence a number that increases with each report of an incarnation
+ * @param state the lifecycle state of the endpoint
+ * @param pools the names of the pools that the endpoint serves
+ * @param running the number of requests in progress at the endpoint
+ * @param capacity the number of requests that the endpoint can run concurrently; 0 if it does not report one
  * @since 0.1.0
  */
 public record EndpointReport(
@@ -23,13 +23,13 @@
         Set<String> pools,
         int running,
         int capacity) {
-    /** Copies the pools. */
+    /** Makes a copy of the set of pools. */
     public EndpointReport {
         pools = Set.copyOf(pools);
     }
 
     /**
-     * Tells whether this is newer than another report of the same endpoint.
+     * Returns whether this report is newer than another report of the same endpoint.
      *
      * @param other the other report
      */
@@ -39,7 +39,8 @@
     }
 
     /**
-     * Tells whether two reports lead to the same choice of endpoints.
+     * Returns whether this report and another one agree in incarnation, state and pools, and so make the endpoint
+     * eligible for the same requests.
      *
      * @param other the other report
      */
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
@@ -21,17 +21,19 @@
 import org.radishpass.core.fleet.VmListing;
 
 /**
- * The aggregate of all that a router knows of machines.
+ * A router's directory of the machines of the fleet, from which it derives a {@link FleetView}.
  *
- * <p>Its rules: absence from the list alone forgets nothing that still answers; leaving is sticky for an incarnation;
- * suspicion narrows the choice but never empties it, since an observer that finds most of a pool dead doubts itself.
+ * <p>The directory follows three rules. An endpoint that is absent from the VM list is kept as long as it answers. A
+ * machine that was once marked as leaving stays so for the rest of its incarnation. A suspected endpoint is excluded
+ * from the choice unless its pool has more suspected than ready endpoints: then a failure of the observer's own network
+ * is more likely, and all suspected endpoints of the pool are treated as ready.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1.0
  */
 public final class FleetDirectory {
-    /** How long a machine that is neither listed nor heard of is remembered. */
+    /** How long a machine stays in the directory after it was last listed or last answered. */
     public static final Duration RETENTION = Duration.ofSeconds(15);
 
     private static final double DEFAULT_WEIGHT = 1;
@@ -40,38 +42,40 @@
     private final Set<String> leavingIncarnations = new HashSet<>();
 
     /**
-     * Takes the platform's list. An empty list is taken for an outage and changes nothing.
+     * Applies the platform's VM list. An empty list is assumed to result from an outage of the platform and changes
+     * nothing.
      *
-     * @param listings the list
-     * @param now the time by this process's clock
-     * @return whether it was news
+     * @param listings the entries of the VM list
+     * @param now the current time by this process's clock
+     * @return whether the directory changed in a way that can change the {@link #view}
      */
     public boolean listed(Collection<VmListing> listings, Instant now) {
         if (listings.isEmpty()) {
             return false;
         }
-        boolean news = false;
+        boolean changed = false;
         for (VmListing listing : listings) {
             Entry entry = entries.get(listing.id());
             if (entry == null) {
                 entry = new Entry(listing);
                 entries.put(listing.id(), entry);
-                news = true;
+                changed = true;
             }
-            news |= entry.updateListing(listing, now.plus(RETENTION));
+            changed |= entry.updateListing(listing, now.plus(RETENTION));
             if (listing.leaving()) {
-                news |= leavingIncarnations.add(incarnationKey(listing.id(), listing.incarnation()));
+                changed |= leavingIncarnations.add(incarnationKey(listing.id(), listing.incarnation()));
             }
         }
-        return entries.values().removeIf(entry -> !entry.forgetAt.isAfter(now)) || news;
+        return entries.values().removeIf(entry -> !entry.forgetAt.isAfter(now)) || changed;
     }
 
     /**
-     * Takes an endpoint's report, from a probe or from a peer.
+     * Applies a report of an endpoint, received from a probe or from another router. A report that is not newer than
+     * the last one, or of an unknown endpoint, is ignored.
      *
-     * @param report the report
-     * @param now the time by this process's clock
-     * @return whether it was news
+     * @param report the report on the endpoint
+     * @param now the current time by this process's clock
+     * @return whether the directory changed in a way that can change the {@link #view}
      */
     public boolean reported(EndpointReport report, Instant now) {
         Entry entry = entries.get(report.endpointId());
@@ -93,9 +97,9 @@
     }
 
     /**
-     * Marks a machine as leaving, for the rest of its incarnation.
+     * Marks a machine as leaving for the rest of its incarnation. Has no effect if the machine is unknown.
      *
-     * @param id the machine
+     * @param id the identity of the machine
      */
     public void left(String id) {
         Entry entry = entries.get(id);
@@ -105,16 +109,16 @@
     }
 
     /**
-     * Returns the last report of an endpoint.
+     * Returns the last report of an endpoint, or empty if there is none.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public Optional<EndpointReport> lastReport(String endpointId) {
         Entry entry = entries.get(endpointId);
         return entry == null ? Optional.empty() : Optional.ofNullable(entry.report);
     }
 
-    /** Returns the picture that follows from all this. */
+    /** Returns a snapshot of the fleet as the directory knows it now. */
     public FleetView view() {
         List<Vm> vms = new ArrayList<>();
         List<Endpoint> endpoints = new ArrayList<>();
@@ -129,17 +133,17 @@
     }
 
     private static List<Endpoint> readmitWhereMostAreSuspect(List<Endpoint> endpoints) {
-        Map<String, Integer> balance = new HashMap<>();
+        Map<String, Integer> suspectMajorities = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
-            int vote = endpoint.state() == EndpointState.SUSPECT ? 1 : 0;
-            int against = endpoint.state() == EndpointState.READY ? 1 : 0;
-            endpoint.pools().forEach(pool -> balance.merge(pool, vote - against, Integer::sum));
+            int suspect = endpoint.state() == EndpointState.SUSPECT ? 1 : 0;
+            int ready = endpoint.state() == EndpointState.READY ? 1 : 0;
+            endpoint.pools().forEach(pool -> suspectMajorities.merge(pool, suspect - ready, Integer::sum));
         }
         return endpoints.stream()
                 .map(endpoint -> {
-                    boolean doubted = endpoint.state() == EndpointState.SUSPECT
-                            && endpoint.pools().stream().anyMatch(pool -> balance.getOrDefault(pool, 0) > 0);
-                    return doubted ? endpoint.withState(EndpointState.READY) : endpoint;
+                    boolean readmitted = endpoint.state() == EndpointState.SUSPECT
+                            && endpoint.pools().stream().anyMatch(pool -> suspectMajorities.getOrDefault(pool, 0) > 0);
+                    return readmitted ? endpoint.withState(EndpointState.READY) : endpoint;
                 })
                 .toList();
     }
@@ -195,7 +199,7 @@
         }
 
         private boolean updateListing(VmListing newListing, Instant newForgetAt) {
-            boolean news = !newListing.equals(listing);
+            boolean changed = !newListing.equals(listing);
             if (newListing.incarnation().compareTo(listing.incarnation()) >= 0) {
                 listing = newListing;
             }
@@ -203,7 +207,7 @@
                 report = null;
             }
             forgetAt = newForgetAt;
-            return news;
+            return changed;
         }
 
         private String incarnation() {
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a router knows of the fleet, from a lagging list, from endpoints' own reports and from failures.
+ * A router's knowledge of the fleet, derived from the platform's VM list (which lags), from the endpoints' own reports
+ * and from failures.
  *
  * @since 0.1.0
  */
