--- a/radishpass-core/src/main/java/org/radishpass/core/once/Claim.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/Claim.java
@@ -4,15 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the platform's store remembers of a non-idempotent request.
+ * The record of a non-idempotent request in the platform's store.
  *
- * @param token unique to the attempt that wrote the claim; its writer knows it by this
- * @param requestHash the hash of what was asked, to tell a reused key
- * @param state how far it is
- * @param claimedAt when it was claimed, by its writer's clock
- * @param status the HTTP status of the answer, once done
- * @param contentType the type of the answer, once done
- * @param body the answer in Base64, once done
+ * @param token a value that is unique to the attempt that wrote the claim, and by which this attempt recognizes the
+ *     claim
+ * @param requestHash the hash of the request, by which the reuse of an idempotency key for another request is detected
+ * @param state the progress of the request
+ * @param claimedAt the time at which the claim was written, by the clock of its writer
+ * @param status the HTTP status of the response; null until the request is done
+ * @param contentType the content type of the response, if it has one; null until the request is done
+ * @param body the body of the response in Base64; null until the request is done
  * @since 0.1.0
  */
 public record Claim(
@@ -24,44 +25,44 @@
         @Nullable String contentType,
         @Nullable String body) {
     /**
-     * How far a claimed request is.
+     * The progress of a claimed request.
      *
      * @since 0.1.0
      */
     public enum State {
-        /** Claimed; it may run, or may have run. */
+        /** The request may be running or may have run. */
         CLAIMED,
-        /** It ran and its answer is known. */
+        /** The request ran and its response is recorded. */
         DONE
     }
 
     /**
-     * Returns a new claim.
+     * Returns a new claim in state {@link State#CLAIMED}.
      *
-     * @param token unique to this attempt
-     * @param requestHash the hash of what is asked
-     * @param now the time by this process's clock
+     * @param token a value that is unique to this attempt
+     * @param requestHash the hash of the request
+     * @param now the current time by this process's clock
      */
     public static Claim open(String token, String requestHash, Instant now) {
         return new Claim(token, requestHash, State.CLAIMED, now, null, null, null);
     }
 
     /**
-     * Returns this claim with its answer.
+     * Returns this claim in state {@link State#DONE}, with the response to the request.
      *
-     * @param answerStatus the HTTP status
-     * @param answerType the content type, if it had one
-     * @param answerBody the body in Base64
+     * @param answerStatus the HTTP status of the response
+     * @param answerType the content type of the response, if it has one
+     * @param answerBody the body of the response in Base64
      */
     public Claim done(int answerStatus, @Nullable String answerType, String answerBody) {
         return new Claim(token, requestHash, State.DONE, claimedAt, answerStatus, answerType, answerBody);
     }
 
     /**
-     * Decides what a request that found this claim may do.
+     * Decides what an attempt that found this claim may do.
      *
-     * @param ownToken the token of the attempt that asks
-     * @param ownHash the hash of what it asks
+     * @param ownToken the token of the attempt
+     * @param ownHash the hash of the attempt's request
      */
     public ClaimDecision decide(String ownToken, String ownHash) {
         if (!requestHash.equals(ownHash)) {
--- a/radishpass-core/src/main/java/org/radishpass/core/once/ClaimDecision.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/ClaimDecision.java
@@ -1,44 +1,44 @@
 package org.radishpass.core.once;
 
 /**
- * What a request may do after it asked for a claim.
+ * What an attempt may do after it tried to write a claim for its request.
  *
  * @since 0.1.0
  */
 public sealed interface ClaimDecision {
     /**
-     * The claim is this attempt's: it may be sent, once.
+     * The claim belongs to this attempt, which may send the request to an endpoint once.
      *
      * @since 0.1.0
      */
     record Run() implements ClaimDecision {}
 
     /**
-     * It ran before; its answer is given again.
+     * The request ran before, and the caller gets the recorded response.
      *
-     * @param claim the claim with the answer
+     * @param claim the claim with the recorded response
      * @since 0.1.0
      */
     record Replay(Claim claim) implements ClaimDecision {}
 
     /**
-     * Another attempt holds the claim: it may have run, and is not run again.
+     * The claim belongs to another attempt. The request may have run, so this attempt does not run it.
      *
      * @since 0.1.0
      */
     record InProgress() implements ClaimDecision {}
 
     /**
-     * The key stands for a different request.
+     * The idempotency key was used before for a different request.
      *
      * @since 0.1.0
      */
     record KeyReused() implements ClaimDecision {}
 
     /**
-     * The store could not be asked and holds no claim of this attempt that could run.
+     * The store cannot be reached, so this attempt has no confirmed claim and must not run the request.
      *
-     * @param detail what failed
+     * @param detail a description of the failure
      * @since 0.1.0
      */
     record Unavailable(String detail) implements ClaimDecision {}
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
@@ -9,18 +9,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The tickets that this start of a router has given out, and what became of each.
+ * The tickets that this incarnation of a router has issued, and the run that belongs to iterator.
  *
- * <p>Its rules: a ticket runs at most once at a time; once it may have run it never runs again; what has been forgotten
- * counts as one that may have run; what was never given out did not run.
+ * <p>The ledger follows these rules. A ticket has at most one run at a time. A ticket whose request may have run is
+ * never run again. A ticket whose entry has expired counts as one whose request may have run. A ticket that was never
+ * issued counts as one whose request did not run.
  *
- * <p>Safe for threads: each step takes the lock for a few instructions.
+ * <p>Thread-safe. Each method holds the lock only briefly.
  *
- * @param <R> the result of a run
+ * @param <R> the type of a run, from which callers get its result
  * @since 0.1.0
  */
 public final class TicketLedger<R> {
-    /** How long a ticket is remembered after it was given out. */
+    /** How long the ledger keeps a ticket after it was issued. */
     public static final Duration TICKET_LIFETIME = Duration.ofMinutes(10);
 
     private static final int MAX_TICKETS = 50_000;
@@ -33,18 +34,19 @@
     /**
      * Creates an empty ledger.
      *
-     * @param mostByWorkspace the most tickets that a workspace may have open
+     * @param maxPerWorkspace the maximum number of unexpired tickets that a workspace may have
      */
-    public TicketLedger(int mostByWorkspace) {
-        this.maxPerWorkspace = mostByWorkspace;
+    public TicketLedger(int maxPerWorkspace) {
+        this.maxPerWorkspace = maxPerWorkspace;
     }
 
     /**
-     * Gives a ticket out.
+     * Issues a ticket.
      *
-     * @param workspace the workspace that alone may use it
-     * @param now the time by this process's clock
-     * @return its number, or -1 if the workspace has too many open
+     * @param workspace the only workspace that may use the ticket
+     * @param now the current time by this process's clock
+     * @return the number of the ticket, or -1 if the workspace or the whole ledger has reached its limit of unexpired
+     *     tickets
      */
     public synchronized long issue(String workspace, Instant now) {
         removeExpired(now);
@@ -58,13 +60,14 @@
     }
 
     /**
-     * Decides what a request with a ticket may do. If it may run, the run given counts as begun.
+     * Decides what a request that presents a ticket may do. If the request may run, the given run is recorded for the
+     * ticket.
      *
-     * @param number the ticket's number
-     * @param workspace the workspace that asks
-     * @param requestHash the hash of what it asks
-     * @param run the run that begins if it may
-     * @param now the time by this process's clock
+     * @param number the number of the ticket
+     * @param workspace the workspace that sent the request
+     * @param requestHash the hash of the request
+     * @param run the run that begins if the request may run
+     * @param now the current time by this process's clock
      */
     public synchronized TicketDecision<R> redeem(
             long number, String workspace, String requestHash, R run, Instant now) {
@@ -79,10 +82,10 @@
         if (!entry.workspace.equals(workspace)) {
             return new TicketDecision.NeverIssued<>();
         }
-        R begun = entry.run;
-        if (begun != null) {
+        R earlierRun = entry.run;
+        if (earlierRun != null) {
             return requestHash.equals(entry.requestHash)
-                    ? new TicketDecision.Join<>(begun)
+                    ? new TicketDecision.Join<>(earlierRun)
                     : new TicketDecision.Reused<>();
         }
         entry.requestHash = requestHash;
@@ -91,9 +94,9 @@
     }
 
     /**
-     * Takes back a run that provably did not run, so that its ticket may be used again.
+     * Removes the run of a ticket whose request provably did not run, so that the ticket may be used again.
      *
-     * @param number the ticket's number
+     * @param number the number of the ticket
      */
     public synchronized void notRun(long number) {
         Entry<R> entry = entries.get(number);
@@ -103,14 +106,14 @@
     }
 
     private void removeExpired(Instant now) {
-        Iterator<Entry<R>> each = entries.values().iterator();
-        while (each.hasNext()) {
-            Entry<R> entry = each.next();
+        Iterator<Entry<R>> iterator = entries.values().iterator();
+        while (iterator.hasNext()) {
+            Entry<R> entry = iterator.next();
             if (entry.deadline.isAfter(now)) {
                 return;
             }
             openByWorkspace.merge(entry.workspace, -1, Integer::sum);
-            each.remove();
+            iterator.remove();
         }
     }
 
--- a/radishpass-core/src/main/java/org/radishpass/core/once/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Rules by which a non-idempotent request runs at most once.
+ * Rules that make a non-idempotent request run at most once.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
@@ -1,20 +1,20 @@
 package org.radishpass.core.outcome;
 
 /**
- * Says whether a request may have run at an endpoint.
+ * The knowledge of whether a request ran at an endpoint, ordered from the least to the most effect.
  *
  * @since 0.1.0
  */
 public enum Verdict {
-    /** It did not run, and provably never will. */
+    /** The request did not run and provably never will. */
     NOT_RUN,
-    /** Nobody here can tell. */
+    /** The request may have run; the router cannot determine whether it did. */
     MAY_HAVE_RUN,
-    /** It ran. */
+    /** The request ran. */
     RAN;
 
     /**
-     * Returns what is true of a request of which two attempts had these verdicts.
+     * Returns the verdict on a request from the verdicts on two of its attempts.
      *
      * @param other the verdict on the other attempt
      */
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Tells whether a request with this verdict may be sent again.
+     * Returns whether a request with this verdict may be sent again.
      *
-     * @param idempotent whether running it twice does no harm
+     * @param idempotent whether running the request twice has the same effect as running it once
      */
     public boolean allowsRetry(boolean idempotent) {
         return this == NOT_RUN || (idempotent && this == MAY_HAVE_RUN);
--- a/radishpass-core/src/main/java/org/radishpass/core/outcome/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/outcome/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What became of a request, and what a refusal may truthfully say.
+ * The outcome of a request: whether it may have run, and the refusals that tell callers so.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
@@ -5,11 +5,11 @@
 import org.radishpass.core.fleet.EndpointList;
 
 /**
- * Names the endpoint that answered a chat's last turn, for the caller to bring back with the next.
+ * Tokens that name the endpoint that answered the last turn of a chat. The caller sends the token with the next turn.
  *
- * <p>It is a hint: it counts only if it fits an endpoint that is open to the request, and the bound on load goes before
- * it. It depends on the workspace, so that it says nothing to another, and forging one gains nothing but a first try at
- * an endpoint that was open anyway.
+ * <p>A token is a hint. It is ignored unless it names an endpoint that accepts the request, and the load bound takes
+ * precedence over it. The token depends on the workspace, so that it tells other workspaces nothing about the endpoint.
+ * A forged token only makes the router try first an endpoint that accepts the request anyway.
  *
  * @since 0.1.0
  */
@@ -22,19 +22,19 @@
      * Returns the token of an endpoint for a workspace.
      *
      * @param workspace the workspace
-     * @param endpointId the endpoint
+     * @param endpointId the identity of the endpoint
      */
     public static String of(String workspace, String endpointId) {
         return Long.toHexString(Rendezvous.mix(Rendezvous.hash(workspace), Rendezvous.hash(endpointId)));
     }
 
     /**
-     * Finds the endpoint that a token names.
+     * Returns the position of the endpoint that a token names.
      *
-     * @param token what the caller brought, if anything
+     * @param token the token that the caller sent, or null if there is none
      * @param workspace the workspace
-     * @param endpoints the endpoints that are open to the request
-     * @return its place in the list
+     * @param endpoints the endpoints that accept the request
+     * @return the position in the list, or empty if the token names none of the endpoints
      */
     public static OptionalInt find(@Nullable String token, String workspace, EndpointList endpoints) {
         if (token == null || token.length() > Long.BYTES * 2) {
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/LoadEstimate.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/LoadEstimate.java
@@ -1,16 +1,16 @@
 package org.radishpass.core.placement;
 
 /**
- * What a router believes of the load of endpoints.
+ * A router's estimate of the load of endpoints.
  *
  * @since 0.1.0
  */
 @FunctionalInterface
 public interface LoadEstimate {
     /**
-     * Returns the number of requests believed to run at an endpoint.
+     * Returns the estimated number of requests in progress at an endpoint.
      *
-     * @param endpointId the endpoint's identity
+     * @param endpointId the identity of the endpoint
      */
     double load(String endpointId);
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementPolicy.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementPolicy.java
@@ -8,19 +8,20 @@
 import org.radishpass.core.fleet.EndpointList;
 
 /**
- * The ways of ordering endpoints for a request: the fleet's own and the baselines that it is measured against.
+ * The policies that order endpoints for a request. The default is {@link #BOUNDED_AFFINITY}; the others are baselines
+ * for comparison.
  *
  * @since 0.1.0
  */
 public enum PlacementPolicy {
-    /** Any endpoint, with equal chance. */
+    /** Orders the endpoints at random. */
     RANDOM(false) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
             return shuffled(request);
         }
     },
-    /** Each endpoint in turn. */
+    /** Starts with each endpoint in turn. */
     ROUND_ROBIN(false) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
@@ -31,7 +32,7 @@
             return ranked;
         }
     },
-    /** The endpoint with the least load as last reported. */
+    /** Starts with the endpoint that has the least load for its weight, as last reported. */
     LEAST_LOAD(false) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
@@ -41,14 +42,17 @@
             return ranked;
         }
     },
-    /** Rendezvous on the chat, without a bound on load. */
+    /** Orders the endpoints by rendezvous hashing on workspace and chat, without a load bound. */
     CONSISTENT_HASH(false) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
             return Ranking.of(request.endpoints(), request.workspace(), request.chat(), 0, request.maxEndpoints());
         }
     },
-    /** The endpoint of the last turn, then rendezvous on workspace and chat, under a bound that owners count. */
+    /**
+     * Starts with the endpoint that answered the last turn of the chat and orders the others by rendezvous hashing on
+     * workspace and chat. The owners of the endpoints enforce a load bound.
+     */
     BOUNDED_AFFINITY(true) {
         @Override
         public List<Endpoint> rank(PlacementRequest request) {
@@ -70,12 +74,12 @@
         this.bounded = bounded;
     }
 
-    /** Tells whether a slot must be reserved before a request goes out. */
+    /** Returns whether a router must reserve a slot at an endpoint before it sends a request there. */
     public boolean bounded() {
         return bounded;
     }
 
-    /** Tells whether each router must ask every endpoint for its load. */
+    /** Returns whether each router must query every endpoint for its load. */
     public boolean needsReports() {
         return this == LEAST_LOAD;
     }
@@ -83,7 +87,7 @@
     /**
      * Returns the endpoints in the order in which they are to be tried.
      *
-     * @param request what is to be placed
+     * @param request the request to be placed
      */
     public abstract List<Endpoint> rank(PlacementRequest request);
 
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
@@ -6,17 +6,17 @@
 import org.radishpass.core.fleet.Endpoint;
 
 /**
- * What a placement policy needs to know of a request.
+ * The input of a placement policy for a request.
  *
- * @param endpoints the endpoints open to it, ordered by identity
- * @param workspace the workspace that asks
- * @param chat the chat it belongs to
- * @param spread how many endpoints the workspace's chats are spread over; 0 for all
- * @param affinityToken the token of the chat's last turn, if the caller brought one
- * @param maxEndpoints the most endpoints that may be tried
- * @param loads what is believed of the endpoints' load
- * @param sequence a number that grows with each request of this router
- * @param random the source of chance
+ * @param endpoints the endpoints that accept the request, ordered by identity
+ * @param workspace the workspace that sent the request
+ * @param chat the chat to which the request belongs
+ * @param spread the number of endpoints over which the workspace's chats are spread; 0 for all
+ * @param affinityToken the affinity token from the last turn of the chat, or null if the caller sent none
+ * @param maxEndpoints the maximum number of endpoints that may be tried
+ * @param loads the estimated load of the endpoints
+ * @param sequence a number that increases with each request of this router
+ * @param random the source of randomness
  * @since 0.1.0
  */
 public record PlacementRequest(
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
@@ -6,10 +6,11 @@
 import org.radishpass.core.fleet.EndpointList;
 
 /**
- * Orders endpoints for a request, the best first, as many as may be tried.
+ * Orders endpoints for a request by rendezvous hashing, from most to least preferred.
  *
- * <p>A workspace is first given a subset of the endpoints, so that chats with the same prefix meet and a surge stays
- * contained; within the subset the chat decides. The endpoints outside the subset follow, in the workspace's order.
+ * <p>Each workspace has a preferred subset of the endpoints. So chats with the same prefix reach the same endpoints,
+ * whose caches hold that prefix, and a surge of one workspace affects few endpoints. Within the subset the hash of the
+ * chat determines the order. The endpoints outside the subset follow, ordered by the hash of the workspace.
  *
  * @since 0.1.0
  */
@@ -21,53 +22,58 @@
     /**
      * Returns the endpoints in the order in which they are to be tried.
      *
-     * @param endpoints the endpoints open to the request
-     * @param workspace the workspace that asks
-     * @param chat the chat, or whatever else the request should stay close to
-     * @param spread how many endpoints the workspace's chats are spread over; 0 for all
-     * @param most the most endpoints to return
+     * @param endpoints the endpoints that accept the request
+     * @param workspace the workspace that sent the request
+     * @param chat the chat, or another key whose requests should reach the same endpoint
+     * @param spread the number of endpoints over which the workspace's chats are spread; 0 for all
+     * @param maxEndpoints the maximum number of endpoints to return
      */
-    public static List<Endpoint> of(List<Endpoint> endpoints, String workspace, String chat, int spread, int most) {
+    public static List<Endpoint> of(
+            List<Endpoint> endpoints, String workspace, String chat, int spread, int maxEndpoints) {
         EndpointList list = EndpointList.of(endpoints);
         long chatHash = Rendezvous.hash(workspace + '\n' + chat);
         if (spread <= 0 || spread >= list.size()) {
-            return highestScored(list, chatHash, most);
+            return highestScored(list, chatHash, maxEndpoints);
         }
-        List<Endpoint> byWorkspace = highestScored(list, Rendezvous.hash(workspace), Math.max(spread, most));
+        List<Endpoint> byWorkspace = highestScored(list, Rendezvous.hash(workspace), Math.max(spread, maxEndpoints));
         List<Endpoint> ranked = new ArrayList<>(byWorkspace.size());
         ranked.addAll(highestScored(EndpointList.of(byWorkspace.subList(0, spread)), chatHash, spread));
         ranked.addAll(byWorkspace.subList(spread, byWorkspace.size()));
-        return ranked.size() <= most ? ranked : new ArrayList<>(ranked.subList(0, most));
+        return ranked.size() <= maxEndpoints ? ranked : new ArrayList<>(ranked.subList(0, maxEndpoints));
     }
 
-    /** Keeps the best in order while it looks at each endpoint once. */
-    private static List<Endpoint> highestScored(EndpointList list, long keyHash, int most) {
+    /**
+     * Returns the endpoints with the highest scores in descending order, found by a partial insertion sort in one pass.
+     */
+    private static List<Endpoint> highestScored(EndpointList list, long keyHash, int maxEndpoints) {
         int kept = 0;
-        int wanted = Math.min(most, list.size());
+        int wanted = Math.min(maxEndpoints, list.size());
         double[] scores = new double[wanted];
-        int[] places = new int[wanted];
+        int[] indexes = new int[wanted];
         for (int i = 0; i < list.size(); i++) {
             double score = score(list, i, keyHash);
             if (kept == wanted && score <= scores[kept - 1]) {
                 continue;
             }
-            int at = kept < wanted ? kept++ : kept - 1;
-            while (at > 0 && scores[at - 1] < score) {
-                scores[at] = scores[at - 1];
-                places[at] = places[at - 1];
-                at--;
+            int position = kept < wanted ? kept++ : kept - 1;
+            while (position > 0 && scores[position - 1] < score) {
+                scores[position] = scores[position - 1];
+                indexes[position] = indexes[position - 1];
+                position--;
             }
-            scores[at] = score;
-            places[at] = i;
+            scores[position] = score;
+            indexes[position] = i;
         }
         List<Endpoint> ranked = new ArrayList<>(kept);
         for (int i = 0; i < kept; i++) {
-            ranked.add(list.get(places[i]));
+            ranked.add(list.get(indexes[i]));
         }
         return ranked;
     }
 
-    /** Among endpoints of equal weight the logarithm changes no order, and is left out. */
+    /**
+     * Returns the score of an endpoint. The logarithm is skipped for equal weights, as it would not change the order.
+     */
     private static double score(EndpointList list, int index, long keyHash) {
         if (list.uniformWeight()) {
             return Rendezvous.mix(keyHash, list.identityHash(index)) >>> 11;
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
@@ -3,9 +3,10 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Weighted rendezvous hashing: every observer of the same members ranks them alike for a key.
+ * Weighted rendezvous hashing, by which all processes that know the same members rank them in the same order for a key.
  *
- * <p>Removing a member moves only the keys that it held; adding one takes its share from all.
+ * <p>Removing a member moves only the keys that were assigned to that member. An added member takes its share of keys
+ * from all other members.
  *
  * @since 0.1.0
  */
@@ -22,16 +23,16 @@
     }
 
     /**
-     * Hashes a key once, so that it can be scored against many members.
+     * Returns the hash of a key or of a member's identity, to be computed once and used in many scores.
      *
-     * @param key what is to be placed
+     * @param key the key or the identity
      */
     public static long hash(String key) {
         return HASH.hashChars(key);
     }
 
     /**
-     * Mixes a key with a member: a number that is spread evenly over all values.
+     * Combines the hash of a key with the hash of a member into a number that is distributed uniformly over all values.
      *
      * @param keyHash the {@link #hash} of the key
      * @param memberHash the {@link #hash} of the member's identity
@@ -44,8 +45,8 @@
     }
 
     /**
-     * Returns the score of a member for a key; the member with the highest score comes first. Among members of equal
-     * weight the order is that of {@link #mix}, taken without its sign and its last bits.
+     * Returns the score of a member for a key. The member with the highest score ranks first. Members of equal weight
+     * rank in the order of their {@link #mix}, taken as an unsigned number without its lowest 11 bits.
      *
      * @param keyHash the {@link #hash} of the key
      * @param memberHash the {@link #hash} of the member's identity
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Choice of an endpoint for a request: ranking by affinity and the policies measured against it.
+ * The choice of an endpoint for a request: ranking by affinity, and baseline policies for comparison.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/retry/RetryBudget.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/retry/RetryBudget.java
@@ -3,10 +3,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Allows retries as a fraction of the traffic, so that they cannot multiply an outage.
+ * Limits retries to a fraction of the traffic, so that retries do not amplify an outage.
  *
- * <p>Each first attempt earns a fraction of a retry; a retry spends a whole one. What is saved up is bounded, so that a
- * quiet hour does not pay for a storm. Safe for threads, without locks.
+ * <p>The budget is a token bucket. Each first attempt adds a fraction of a retry and each retry removes a whole one.
+ * The bucket has a maximum, so that retries left over from a period of few failures do not permit a burst of retries
+ * later.
+ *
+ * <p>Thread-safe and lock-free.
  *
  * @since 0.1.0
  */
@@ -20,21 +23,21 @@
     /**
      * Creates a budget that starts full.
      *
-     * @param ratio the retries that each first attempt earns
-     * @param most the most retries that can be saved up
+     * @param ratio the number of retries that each first attempt adds to the budget
+     * @param maxRetries the maximum number of retries in the budget
      */
-    public RetryBudget(double ratio, int most) {
+    public RetryBudget(double ratio, int maxRetries) {
         this.unitsPerFirstAttempt = Math.round(ratio * UNITS_PER_RETRY);
-        this.maxUnits = most * UNITS_PER_RETRY;
+        this.maxUnits = maxRetries * UNITS_PER_RETRY;
         this.availableUnits = new AtomicLong(this.maxUnits);
     }
 
-    /** Counts a first attempt. */
+    /** Adds the share of a first attempt to the budget. */
     public void firstAttempt() {
         availableUnits.getAndUpdate(value -> Math.min(maxUnits, value + unitsPerFirstAttempt));
     }
 
-    /** Spends one retry if there is one. */
+    /** Takes one retry from the budget if it holds one, and returns whether it did. */
     public boolean tryRetry() {
         return availableUnits.getAndUpdate(value -> value >= UNITS_PER_RETRY ? value - UNITS_PER_RETRY : value)
                 >= UNITS_PER_RETRY;
--- a/radishpass-core/src/main/java/org/radishpass/core/retry/package-info.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/retry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits on retries.
+ * Limits on the number of retries.
  *
  * @since 0.1.0
  */
