--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
@@ -25,7 +25,10 @@
     /** Returns the lifecycle state of the endpoint. */
     EndpointState state();
 
-    /** Returns the names of the pools that the endpoint serves. */
+    /**
+     * Returns the names of the pools that the endpoint serves. A pool consists of all endpoints that serve the same
+     * version of a model (with the same adapter, if any) or the same service.
+     */
     Set<String> pools();
 
     /** Returns the endpoint's share of requests relative to other endpoints, above 0. */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/PoolLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/PoolLedger.java
@@ -9,7 +9,7 @@
  *
  * <p>Each part counts until its deadline, so that the part of an owner that has stopped drops out.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe: all calls must come from one thread.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
@@ -13,7 +13,7 @@
  * slots came through another owner and are added as foreign load. The account uses the lower foreign load of the last
  * two reports, because a report may still include requests whose slots were released since.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe: all calls must come from one thread.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
@@ -15,7 +15,7 @@
  * endpoints owned here. If no exchange succeeds within {@link #POOL_LOAD_LIFETIME}, the load of the endpoints owned
  * here is used in place of the load of the pool.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe: all calls must come from one thread.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotRequest.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotRequest.java
@@ -4,7 +4,8 @@
 import org.radishpass.core.admission.PriorityClass;
 
 /**
- * A request for a slot at an endpoint. A slot is the permission to have one request in progress there.
+ * A router's request for a slot at an endpoint. A slot is the permission to have one request in progress at the
+ * endpoint.
  *
  * @param slot the identity of the slot
  * @param priority the priority class of the request that will use the slot
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
@@ -24,11 +24,11 @@
  * A router's directory of the machines of the fleet, from which it derives a {@link FleetView}.
  *
  * <p>The directory follows three rules. An endpoint that is absent from the VM list is kept as long as it answers. A
- * machine that was once marked as leaving stays so for the rest of its incarnation. A suspected endpoint is excluded
- * from the choice unless its pool has more suspected than ready endpoints: then a failure of the observer's own network
- * is more likely, and all suspected endpoints of the pool are treated as ready.
+ * machine that was once marked as leaving stays so for the rest of its incarnation. A suspected endpoint gets no
+ * new requests unless one of its pools has more suspected than ready endpoints. In that case a fault of the observer
+ * itself is more likely, and the endpoint is treated as ready.
  *
- * <p>Not thread-safe.
+ * <p>Not thread-safe: all calls must come from one thread.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketDecision.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketDecision.java
@@ -41,7 +41,8 @@
     record Forgotten<R>() implements TicketDecision<R> {}
 
     /**
-     * The router never issued this ticket to this workspace, so no request with this ticket has run.
+     * The router never issued this ticket to this workspace, so no request of this workspace with this ticket has
+     * run.
      *
      * @param <R> the type of a run, from which callers get its result
      * @since 0.1.0
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The tickets that this incarnation of a router has issued, and the run that belongs to iterator.
+ * The tickets that this incarnation of a router has issued, and the run that belongs to each of them.
  *
  * <p>The ledger follows these rules. A ticket has at most one run at a time. A ticket whose request may have run is
  * never run again. A ticket whose entry has expired counts as one whose request may have run. A ticket that was never
--- a/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
@@ -1,7 +1,7 @@
 package org.radishpass.core.outcome;
 
 /**
- * The knowledge of whether a request ran at an endpoint, ordered from the least to the most effect.
+ * The knowledge of whether a request ran at an endpoint, ordered from certainly not run to certainly run.
  *
  * @since 0.1.0
  */
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
@@ -40,15 +40,15 @@
         if (token == null || token.length() > Long.BYTES * 2) {
             return OptionalInt.empty();
         }
-        long wanted;
+        long tokenValue;
         try {
-            wanted = Long.parseUnsignedLong(token, 16);
+            tokenValue = Long.parseUnsignedLong(token, 16);
         } catch (NumberFormatException e) {
             return OptionalInt.empty();
         }
         long workspaceHash = Rendezvous.hash(workspace);
         for (int i = 0; i < endpoints.size(); i++) {
-            if (Rendezvous.mix(workspaceHash, endpoints.identityHash(i)) == wanted) {
+            if (Rendezvous.mix(workspaceHash, endpoints.identityHash(i)) == tokenValue) {
                 return OptionalInt.of(i);
             }
         }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
@@ -47,15 +47,15 @@
      */
     private static List<Endpoint> highestScored(EndpointList list, long keyHash, int maxEndpoints) {
         int kept = 0;
-        int wanted = Math.min(maxEndpoints, list.size());
-        double[] scores = new double[wanted];
-        int[] indexes = new int[wanted];
+        int limit = Math.min(maxEndpoints, list.size());
+        double[] scores = new double[limit];
+        int[] indexes = new int[limit];
         for (int i = 0; i < list.size(); i++) {
             double score = score(list, i, keyHash);
-            if (kept == wanted && score <= scores[kept - 1]) {
+            if (kept == limit && score <= scores[kept - 1]) {
                 continue;
             }
-            int position = kept < wanted ? kept++ : kept - 1;
+            int position = kept < limit ? kept++ : kept - 1;
             while (position > 0 && scores[position - 1] < score) {
                 scores[position] = scores[position - 1];
                 indexes[position] = indexes[position - 1];
--- a/radishpass-core/src/test/java/org/radishpass/core/admission/WorkspaceGateTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/admission/WorkspaceGateTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that workspaces are held to their limits. */
+/** Checks the limits on the requests that workspaces have in progress. */
 final class WorkspaceGateTest {
     private final WorkspaceGate gate = new WorkspaceGate();
 
     @Test
-    void aRouterLetsInItsShareWithHeadroomAndNoMore() {
+    void aRouterAdmitsItsShareOfTheFleetLimitPlusHeadroom() {
         int entered = 0;
         while (gate.tryEnter("w", 80, 8)) {
             entered++;
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aRequestThatHasLeftMakesRoom() {
+    void aRequestIsAdmittedAfterAnotherOneHasEnded() {
         assertThat(gate.tryEnter("w", 1, 100)).isTrue();
         assertThat(gate.tryEnter("w", 1, 100)).isFalse();
 
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void oneWorkspaceDoesNotUseUpAnothers() {
+    void aWorkspaceAtItsLimitDoesNotAffectAnotherWorkspace() {
         while (gate.tryEnter("one", 10, 1)) {
-            // fill it
+            // admit requests up to the limit
         }
 
         assertThat(gate.tryEnter("other", 10, 1)).isTrue();
--- a/radishpass-core/src/test/java/org/radishpass/core/converge/ConvergeTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/converge/ConvergeTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.core.fleet.EndpointState;
 
-/** Checks plans and the orders that follow from them. */
+/** Checks the assignment of engines to models and the orders that bring an engine to its desired state. */
 final class ConvergeTest {
     private static final EndpointGoal NEW_VERSION = new EndpointGoal(true, List.of("m@2", "m:a@2"));
 
     @Test
-    void aNewVersionIsLoadedBeforeTheOldOneIsGivenUp() {
+    void aNewVersionIsLoadedBeforeTheOldOneIsUnloaded() {
         Set<String> pools = new HashSet<>(Set.of("m@1", "m:a@1"));
         List<String> orders = new ArrayList<>();
         Optional<Order> next = OrderPlan.next(NEW_VERSION, EndpointState.READY, pools, 3);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anEngineFallsAsleepOnlyWhenItsLastRequestHasEnded() {
+    void anEngineIsPutToSleepOnlyAfterItsLastRequestHasEnded() {
         assertThat(OrderPlan.next(EndpointGoal.ASLEEP, EndpointState.READY, Set.of(), 1))
                 .isEmpty();
         assertThat(OrderPlan.next(EndpointGoal.ASLEEP, EndpointState.READY, Set.of(), 0))
@@ -48,19 +48,19 @@
     }
 
     @Test
-    void aLeavingEngineIsGivenNoOrders() {
+    void aLeavingEngineGetsNoOrders() {
         assertThat(OrderPlan.next(NEW_VERSION, EndpointState.LEAVING, Set.of(), 0))
                 .isEmpty();
     }
 
     @Test
-    void aSleepingEngineThatIsNeededIsWokenFirst() {
+    void aSleepingEngineIsWokenBeforeItLoadsPools() {
         assertThat(OrderPlan.next(NEW_VERSION, EndpointState.ASLEEP, Set.of(), 0))
                 .hasValue(new Order(OrderType.WAKE, ""));
     }
 
     @Property(tries = 100, seed = "49")
-    void theSameRecordsAndEnginesGiveTheSamePlanInAnyOrder(@ForAll @IntRange(min = 1, max = 30) int count) {
+    void thePlanDoesNotDependOnTheOrderOfTheEngines(@ForAll @IntRange(min = 1, max = 30) int count) {
         List<String> engines = engines(count);
         List<String> reversed = new ArrayList<>(engines);
         java.util.Collections.reverse(reversed);
@@ -69,7 +69,7 @@
     }
 
     @Property(tries = 100, seed = "50")
-    void eachModelGetsWhatItsRecordDeclaresWhereThereAreEnough(@ForAll @IntRange(min = 7, max = 30) int count) {
+    void eachModelGetsItsDemandIfThereAreEnoughEngines(@ForAll @IntRange(min = 7, max = 30) int count) {
         Map<String, EndpointGoal> plan = CapacityPlan.of(demands(), engines(count));
 
         assertThat(plan.values().stream()
--- a/radishpass-core/src/test/java/org/radishpass/core/lease/LeaseRulesTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/lease/LeaseRulesTest.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Checks the times that keep two holders apart. */
+/** Checks the rules that keep the orders of two lease holders from overlapping. */
 final class LeaseRulesTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final LeaseRules RULES = LeaseRules.DEFAULT;
 
     @Test
-    void aLeaseIsTakenOnlyAfterItsDeadlineAndTheBoundOnClocks() {
+    void aLeaseMayBeTakenOnlyAfterItsDeadlineAndTheMaximumClockDifference() {
         Lease lease = new Lease("one", 1, NOW);
 
         assertThat(RULES.mayTake(lease, NOW.plus(RULES.clockBound()))).isFalse();
@@ -25,20 +25,23 @@
     }
 
     @Test
-    void aLeaseThatWasGivenBackIsTakenAtOnce() {
+    void aReleasedLeaseMayBeTakenAtOnce() {
         assertThat(RULES.mayTake(new Lease("", 4, NOW.plusSeconds(60)), NOW)).isTrue();
     }
 
     @Test
-    void aTermTooShortToActInIsRefused() {
+    void aTermOfTwiceTheOrderLifetimeIsRejected() {
         Duration second = Duration.ofSeconds(1);
 
         assertThrows(IllegalArgumentException.class, () -> new LeaseRules(second.multipliedBy(2), second, second));
     }
 
-    /** A pause of any length, and clocks that differ up to the bound: orders of two holders never overlap. */
+    /**
+     * Guards against overlapping orders of two holders after a process pause and with clocks that differ up to the
+     * maximum.
+     */
     @Property(seed = "48")
-    void anOrderOfTheOldHolderHasExpiredBeforeANewOneMayTake(
+    void ordersOfTheOldHolderExpireBeforeAnotherProcessMayTakeTheLease(
             @ForAll @LongRange(min = 0, max = 60_000) long pausedMillis,
             @ForAll @LongRange(min = -2_000, max = 2_000) long clockDifferenceMillis) {
         Instant deadline = RULES.deadlineFrom(NOW);
@@ -47,9 +50,9 @@
             return;
         }
         Instant orderExpires = NOW.plusNanos(sentAt).plus(RULES.orderLife());
-        Instant asTheOtherSeesIt = orderExpires.plusMillis(clockDifferenceMillis);
+        Instant orderExpiresByOtherClock = orderExpires.plusMillis(clockDifferenceMillis);
 
-        assertThat(RULES.mayTake(new Lease("one", 1, deadline), asTheOtherSeesIt))
+        assertThat(RULES.mayTake(new Lease("one", 1, deadline), orderExpiresByOtherClock))
                 .isFalse();
     }
 }
--- a/radishpass-core/src/test/java/org/radishpass/core/load/SliverBoundTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/load/SliverBoundTest.java
@@ -7,23 +7,23 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Checks what holds when no owner can be asked. */
+/** Checks the load bound that each router applies to its own requests when no owner can be reached. */
 final class SliverBoundTest {
     private static final LoadBound BOUND = new LoadBound(1.25);
 
     @Property(tries = 100, seed = "46")
-    void allRoutersTogetherStayWithinTheBoundPlusOneRequestEach(
+    void allRoutersTogetherExceedTheBoundByAtMostTheMultiplePerRouter(
             @ForAll @IntRange(min = 1, max = 64) int routers, @ForAll @IntRange(min = 1, max = 400) int requests) {
         int engines = 8;
         int[][] placed = new int[routers][engines];
         Random random = new Random(routers * 1_000L + requests);
-        SliverBound[] slivers = new SliverBound[routers];
+        SliverBound[] bounds = new SliverBound[routers];
         for (int r = 0; r < routers; r++) {
-            slivers[r] = new SliverBound();
+            bounds[r] = new SliverBound();
         }
         for (int i = 0; i < requests; i++) {
             int router = random.nextInt(routers);
-            place(slivers[router], placed[router], random.nextInt(2));
+            place(bounds[router], placed[router], random.nextInt(2));
         }
         for (int e = 0; e < engines; e++) {
             int sum = 0;
@@ -34,18 +34,18 @@
         }
     }
 
-    /** All want the first or second engine; the bound alone pushes them on. */
-    private static void place(SliverBound sliver, int[] own, int wanted) {
+    /** Places a request at the preferred engine, or at the next engine whose bound allows it. */
+    private static void place(SliverBound routerBound, int[] placedByRouter, int preferred) {
         int running = 0;
-        for (int count : own) {
+        for (int count : placedByRouter) {
             running += count;
         }
-        PoolLoad part = new PoolLoad(running, own.length);
-        for (int k = 0; k < own.length; k++) {
-            int engine = (wanted + k) % own.length;
-            if (sliver.allows("engine-" + engine, 1, part, BOUND)) {
-                sliver.started("engine-" + engine);
-                own[engine]++;
+        PoolLoad part = new PoolLoad(running, placedByRouter.length);
+        for (int k = 0; k < placedByRouter.length; k++) {
+            int engine = (preferred + k) % placedByRouter.length;
+            if (routerBound.allows("engine-" + engine, 1, part, BOUND)) {
+                routerBound.started("engine-" + engine);
+                placedByRouter[engine]++;
                 return;
             }
         }
--- a/radishpass-core/src/test/java/org/radishpass/core/load/SlotBookTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/load/SlotBookTest.java
@@ -16,7 +16,7 @@
 import org.radishpass.core.fleet.EndpointState;
 import org.radishpass.core.testing.Endpoints;
 
-/** Checks the accounts of an owner. */
+/** Checks the slot accounts of the endpoints that a router owns. */
 final class SlotBookTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final LoadBound BOUND = new LoadBound(1.25);
@@ -24,19 +24,19 @@
     private final SlotBook book = new SlotBook();
 
     @Test
-    void aLeavingEndpointGetsNothing() {
+    void noSlotIsGrantedAtALeavingEndpoint() {
         book.own(List.of(Endpoints.engine("engine-0", EndpointState.LEAVING)));
 
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.CLOSED);
     }
 
     @Test
-    void anEndpointThatIsNotOwnedIsNotAnsweredFor() {
+    void aSlotAtAnEndpointThatIsNotOwnedIsUnconfirmed() {
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.UNCONFIRMED);
     }
 
     @Test
-    void oneEndpointAmongFourMayTakeTheFirstRequestButNotTheSecond() {
+    void aSecondSlotAtOneOfFourIdleEndpointsIsOverTheBound() {
         book.own(Endpoints.engines(4));
 
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.GRANTED);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void askingAgainForAHeldSlotTakesNoSecond() {
+    void aRepeatedRequestForAHeldSlotHoldsNoSecondSlot() {
         book.own(Endpoints.engines(1));
         reserve("engine-0", "a");
 
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aSlotLapsesAtItsDeadline() {
+    void aSlotExpiresAtItsDeadline() {
         book.own(Endpoints.engines(1));
         reserve("engine-0", "a");
 
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theSlotsOfARouterThatIsGoneAreFreed() {
+    void theSlotsOfAStoppedRouterAreReleased() {
         book.own(Endpoints.engines(1));
         reserve("engine-0", "a");
 
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void workThatAnotherOwnerGrantedCountsOnceTwoReportsShowIt() {
+    void foreignLoadCountsAfterTwoReportsShowIt() {
         book.own(Endpoints.engines(2));
         book.report("engine-0", 5, 32);
         assertThat(book.running("engine-0")).isEqualTo(0);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void anAdoptedSlotIsNoLongerForeign() {
+    void anAdoptedSlotIsNotCountedAsForeignLoadToo() {
         book.own(Endpoints.engines(1));
         book.report("engine-0", 1, 32);
         book.report("engine-0", 1, 32);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aFullEndpointSaysSo() {
+    void aSlotBeyondTheCapacityIsDeniedAsFull() {
         book.own(Endpoints.engines(1));
         book.report("engine-0", 0, 1);
         reserve("engine-0", "a");
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void batchWorkLeavesHalfOfTheSlotsToOthers() {
+    void batchRequestsHoldAtMostHalfOfTheSlots() {
         book.own(Endpoints.engines(1));
         book.report("engine-0", 0, 4);
 
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void theOthersPartOfAPoolCountsUntilItIsTooOld() {
+    void theLoadOfOtherOwnersCountsUntilItExpires() {
         book.own(Endpoints.engines(1));
         book.total(Endpoints.POOL, new PoolLoad(10, 5), new PoolLoad(2, 1), NOW);
 
@@ -132,11 +132,11 @@
     }
 
     @Property(tries = 200, seed = "45")
-    void noEndpointGoesOverTheBoundAndSomeEndpointAlwaysHasRoom(
+    void noEndpointExceedsTheBoundAndSomeEndpointAlwaysHasRoom(
             @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(min = 1, max = 80) int requests) {
-        SlotBook own = new SlotBook();
+        SlotBook ownerBook = new SlotBook();
         List<Endpoint> endpoints = Endpoints.engines(engines);
-        own.own(endpoints);
+        ownerBook.own(endpoints);
         Random random = new Random(engines * 1_000L + requests);
         for (int i = 0; i < requests; i++) {
             List<Endpoint> ranked = new ArrayList<>(endpoints);
@@ -146,10 +146,10 @@
             boolean placed = false;
             for (int k = 0; k < engines && !placed; k++) {
                 String id = ranked.get(k).id();
-                int limit = BOUND.limit(own.poolLoad(Endpoints.POOL, NOW), 1);
+                int limit = BOUND.limit(ownerBook.poolLoad(Endpoints.POOL, NOW), 1);
                 SlotRequest request = request("slot-" + i, PriorityClass.INTERACTIVE);
-                placed = own.reserve(id, Endpoints.POOL, request, NOW) == SlotAnswer.GRANTED;
-                assertThat(placed && own.running(id) > limit).isFalse();
+                placed = ownerBook.reserve(id, Endpoints.POOL, request, NOW) == SlotAnswer.GRANTED;
+                assertThat(placed && ownerBook.running(id) > limit).isFalse();
             }
             assertThat(placed).isTrue();
         }
--- a/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
@@ -13,7 +13,7 @@
 import org.radishpass.core.fleet.VmKind;
 import org.radishpass.core.fleet.VmListing;
 
-/** Checks what a router believes of the fleet. */
+/** Checks which endpoints a router considers open to requests after lists and reports. */
 final class FleetDirectoryTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final String POOL = "model@1";
@@ -21,7 +21,7 @@
     private final FleetDirectory directory = new FleetDirectory();
 
     @Test
-    void anEndpointIsOpenOnceItHasReported() {
+    void anEndpointAcceptsRequestsOnceItHasReportedReady() {
         directory.listed(List.of(engine("a", "1", false)), NOW);
         assertThat(open()).isEmpty();
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void anEmptyListIsNotNews() {
+    void anEmptyListChangesNothing() {
         readyEngine("a");
 
         directory.listed(List.of(), NOW.plusSeconds(60));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anEndpointThatVanishesFromTheListButAnswersIsKept() {
+    void anUnlistedEndpointThatStillAnswersIsKept() {
         readyEngine("a");
         readyEngine("b");
         directory.reported(report("a", "1", 2, EndpointState.READY), NOW.plusSeconds(14));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anEndpointThatNeitherIsListedNorAnswersIsForgotten() {
+    void anUnlistedEndpointThatDoesNotAnswerIsRemoved() {
         readyEngine("a");
         readyEngine("b");
 
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void leavingIsStickyForTheIncarnationAndEndsWithIt() {
+    void leavingLastsUntilTheEndOfTheIncarnation() {
         readyEngine("a");
         directory.listed(List.of(engine("a", "1", true)), NOW);
         directory.listed(List.of(engine("a", "1", false)), NOW);
@@ -79,9 +79,9 @@
         directory.listed(List.of(engine("a", "1", false)), NOW);
         directory.reported(report("a", "1", 5, EndpointState.READY), NOW);
 
-        boolean news = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
+        boolean changed = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
 
-        assertThat(news).isFalse();
+        assertThat(changed).isFalse();
         assertThat(open()).containsExactly("a");
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void suspicionNarrowsTheChoice() {
+    void aSuspectedEndpointIsExcluded() {
         readyEngine("a");
         readyEngine("b");
         readyEngine("c");
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void anObserverThatFindsMostDeadDoubtsItself() {
+    void suspectedEndpointsStayOpenIfMostOfThePoolIsSuspected() {
         readyEngine("a");
         readyEngine("b");
         readyEngine("c");
--- a/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-/** Checks that a ticket's request runs at most once. */
+/** Checks that the request of a ticket runs at most once. */
 final class TicketLedgerTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
 
@@ -19,26 +19,26 @@
     private final long number = ledger.issue("w", NOW);
 
     @Test
-    void theFirstRequestBeginsAndTheNextOnesJoinIt() {
+    void theFirstRequestBeginsARunAndLaterOnesJoinIt() {
         assertThat(redeem("w", "hash", "one")).isInstanceOf(TicketDecision.Begin.class);
         assertThat(redeem("w", "hash", "two")).isEqualTo(new TicketDecision.Join<>("one"));
     }
 
     @Test
-    void aDifferentRequestIsRefused() {
+    void aTicketUsedForADifferentRequestIsRefused() {
         redeem("w", "hash", "one");
 
         assertThat(redeem("w", "other", "two")).isInstanceOf(TicketDecision.Reused.class);
     }
 
     @Test
-    void anotherWorkspaceHasNoSuchTicket() {
+    void aTicketOfAnotherWorkspaceCountsAsNeverIssued() {
         assertThat(redeem("x", "hash", "one")).isInstanceOf(TicketDecision.NeverIssued.class);
         assertThat(redeem("w", "hash", "two")).isInstanceOf(TicketDecision.Begin.class);
     }
 
     @Test
-    void whatProvablyDidNotRunMayBeginAgain() {
+    void aRequestThatProvablyDidNotRunMayBeginAgain() {
         redeem("w", "hash", "one");
         ledger.notRun(number);
 
@@ -46,19 +46,19 @@
     }
 
     @Test
-    void aForgottenTicketMayHaveRun() {
+    void anExpiredTicketIsForgotten() {
         Instant later = NOW.plus(TicketLedger.TICKET_LIFETIME);
 
         assertThat(ledger.redeem(number, "w", "hash", "one", later)).isInstanceOf(TicketDecision.Forgotten.class);
     }
 
     @Test
-    void aNumberThatWasNeverGivenOutDidNotRun() {
+    void anUnknownNumberCountsAsNeverIssued() {
         assertThat(ledger.redeem(number + 1, "w", "hash", "one", NOW)).isInstanceOf(TicketDecision.NeverIssued.class);
     }
 
     @Test
-    void aWorkspaceHasABoundedNumberOfTicketsUntilTheyAreForgotten() {
+    void aWorkspaceGetsNoMoreThanItsLimitOfUnexpiredTickets() {
         ledger.issue("w", NOW);
         ledger.issue("w", NOW);
 
@@ -68,17 +68,17 @@
     }
 
     @Property(tries = 200, seed = "55")
-    void aTicketIsReadAsItWasWritten(
+    void parsingTheTextOfATicketReturnsTheTicket(
             @ForAll @AlphaChars @StringLength(min = 1, max = 30) String router,
             @ForAll @NumericChars @StringLength(min = 1, max = 9) String incarnation,
-            @ForAll @LongRange(min = 1, max = 999_999_999) long own) {
-        Ticket ticket = new Ticket(router, incarnation, own);
+            @ForAll @LongRange(min = 1, max = 999_999_999) long ticketNumber) {
+        Ticket ticket = new Ticket(router, incarnation, ticketNumber);
 
         assertThat(Ticket.parse(ticket.text())).hasValue(ticket);
     }
 
     @Property(tries = 500, seed = "56")
-    void anyTextIsATicketOrAKeyOfTheCallersOwn(@ForAll String text) {
+    void onlyTextWithTheTicketPrefixParsesAsATicket(@ForAll String text) {
         assertThat(Ticket.parse(text).isEmpty() || text.startsWith("ticket.")).isTrue();
     }
 
--- a/radishpass-core/src/test/java/org/radishpass/core/outcome/VerdictTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/outcome/VerdictTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks what verdicts allow and how they add up. */
+/** Checks which verdicts allow a retry, and the combined verdict of two attempts. */
 final class VerdictTest {
     @ParameterizedTest
     @CsvSource({
@@ -18,15 +18,16 @@
         "RAN, false, false",
         "RAN, true, false",
     })
-    void onlyWhatDidNotRunOrDoesNoHarmIsSentAgain(Verdict verdict, boolean idempotent, boolean again) {
-        assertThat(verdict.allowsRetry(idempotent)).isEqualTo(again);
+    void aRetryNeedsARequestThatDidNotRunOrAnIdempotentOneThatMayHaveRun(
+            Verdict verdict, boolean idempotent, boolean allowed) {
+        assertThat(verdict.allowsRetry(idempotent)).isEqualTo(allowed);
     }
 
     @Property(seed = "47")
-    void attemptsTogetherAreNotRunOnlyIfEachWas(@ForAll Verdict one, @ForAll Verdict other) {
-        Verdict both = one.and(other);
+    void aRequestCountsAsNotRunOnlyIfBothAttemptsDo(@ForAll Verdict first, @ForAll Verdict second) {
+        Verdict combined = first.and(second);
 
-        assertThat(both == Verdict.NOT_RUN).isEqualTo(one == Verdict.NOT_RUN && other == Verdict.NOT_RUN);
-        assertThat(both).isEqualTo(other.and(one));
+        assertThat(combined == Verdict.NOT_RUN).isEqualTo(first == Verdict.NOT_RUN && second == Verdict.NOT_RUN);
+        assertThat(combined).isEqualTo(second.and(first));
     }
 }
--- a/radishpass-core/src/test/java/org/radishpass/core/placement/RankingPropertyTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/placement/RankingPropertyTest.java
@@ -13,10 +13,10 @@
 import org.radishpass.core.fleet.Endpoint;
 import org.radishpass.core.testing.Endpoints;
 
-/** Properties of the order in which endpoints are tried. */
+/** Checks properties of the order in which endpoints are tried. */
 final class RankingPropertyTest {
     @Property(tries = 200, seed = "41")
-    void everyObserverOfTheSameEndpointsRanksThemAlike(
+    void theRankingDoesNotDependOnTheOrderOfTheEndpoints(
             @ForAll String workspace, @ForAll String chat, @ForAll @IntRange(min = 1, max = 40) int count) {
         List<Endpoint> endpoints = Endpoints.engines(count);
         List<Endpoint> reversed = new ArrayList<>(endpoints);
@@ -27,25 +27,25 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void onlyTheChatsOfALostEndpointMove(
+    void removingAnEndpointMovesOnlyItsOwnChats(
             @ForAll String chat,
             @ForAll @IntRange(min = 2, max = 40) int count,
-            @ForAll @IntRange(min = 0, max = 39) int lostIndex) {
+            @ForAll @IntRange(min = 0, max = 39) int removedIndex) {
         List<Endpoint> endpoints = Endpoints.engines(count);
-        Endpoint lost = endpoints.get(lostIndex % count);
-        List<Endpoint> left = new ArrayList<>(endpoints);
-        left.remove(lost);
+        Endpoint removed = endpoints.get(removedIndex % count);
+        List<Endpoint> remaining = new ArrayList<>(endpoints);
+        remaining.remove(removed);
 
         Endpoint before = Ranking.of(endpoints, "workspace", chat, 0, 100).get(0);
-        Endpoint after = Ranking.of(left, "workspace", chat, 0, 100).get(0);
+        Endpoint after = Ranking.of(remaining, "workspace", chat, 0, 100).get(0);
 
-        if (!before.equals(lost)) {
+        if (!before.equals(removed)) {
             assertThat(after).isEqualTo(before);
         }
     }
 
     @Property(tries = 100, seed = "43")
-    void aWorkspacesChatsStayWithinItsSpread(
+    void theChatsOfAWorkspaceUseNoMoreEndpointsThanItsSpread(
             @ForAll String workspace,
             @ForAll @Size(min = 20, max = 60) Set<String> chats,
             @ForAll @IntRange(min = 1, max = 5) int spread) {
@@ -58,7 +58,7 @@
     }
 
     @Property(tries = 50, seed = "44")
-    void everyEndpointIsRankedOnce(@ForAll String chat, @ForAll @IntRange(min = 0, max = 12) int spread) {
+    void everyEndpointIsRankedExactlyOnce(@ForAll String chat, @ForAll @IntRange(min = 0, max = 12) int spread) {
         List<Endpoint> endpoints = Endpoints.engines(12);
 
         assertThat(Ranking.of(endpoints, "workspace", chat, spread, 100)).containsExactlyElementsIn(endpoints);
--- a/radishpass-core/src/test/java/org/radishpass/core/retry/RetryBudgetTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/retry/RetryBudgetTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that retries stay a fraction of the traffic. */
+/** Checks that retries stay within a fraction of the traffic. */
 final class RetryBudgetTest {
     @Test
-    void whenEveryAttemptFailsRetriesStayAFractionOfTheTraffic() {
+    void retriesStayAFractionOfTheTrafficWhenEveryAttemptFails() {
         RetryBudget budget = new RetryBudget(0.1, 10);
         int retries = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aQuietHourSavesUpNoMoreThanTheMost() {
+    void unusedRetriesAccumulateOnlyUpToTheMaximum() {
         RetryBudget budget = new RetryBudget(0.5, 3);
         for (int i = 0; i < 100; i++) {
             budget.firstAttempt();
--- a/radishpass-core/src/test/java/org/radishpass/core/testing/Endpoints.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/testing/Endpoints.java
@@ -9,9 +9,9 @@
 import org.radishpass.core.fleet.EndpointState;
 import org.radishpass.core.fleet.Engine;
 
-/** Makes endpoints for tests. */
+/** Creates endpoints for tests. */
 public final class Endpoints {
-    /** The pool that they serve. */
+    /** The pool that all these endpoints serve. */
     public static final String POOL = "model@1";
 
     private Endpoints() {
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Returns ready engines.
+     * Returns engines in state {@link EndpointState#READY}, named {@code engine-0}, {@code engine-1} and so on.
      *
-     * @param count how many
+     * @param count the number of engines
      */
     public static List<Endpoint> engines(int count) {
         List<Endpoint> engines = new ArrayList<>();
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Returns an engine.
+     * Returns an engine that serves {@link #POOL}.
      *
-     * @param id its identity
-     * @param state the stage of its life
+     * @param id the identity of the engine
+     * @param state the lifecycle state of the engine
      */
     public static Engine engine(String id, EndpointState state) {
         return new Engine(id, "1", new DataCentre("here"), new Address("127.0.0.1", 1), state, Set.of(POOL), 1);
