--- a/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
@@ -14,10 +14,10 @@
  * Chooses the owner of an endpoint or of a pool. The owner is the router that keeps the load account of the endpoint or
  * pool.
  *
- * <p>The owner of an endpoint is a router in the endpoint's data centre, or any router if that data centre has none.
- * Routers with the same list of routers choose the same owner. While their lists differ, two routers may each keep an
- * account of the same endpoint. Each of them then learns of the slots that the other one granted from the endpoint's
- * own report, and counts them as foreign load.
+ * <p>The owner of an endpoint is a router in the endpoint's data centre, or any router if that data centre has none. A
+ * leaving router owns nothing. Routers with the same list of routers choose the same owner. While their lists differ,
+ * two routers may each keep an account of the same endpoint. Each of them then learns of the slots that the other one
+ * granted from the endpoint's own report, and counts them as foreign load.
  *
  * @since 0.1.0
  */
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Returns the router that aggregates the load of a pool, or empty if there is none.
+     * Returns the router that aggregates the load of a pool, or empty if no router is eligible.
      *
      * @param pool the name of the pool
      * @param vms the machines that run routers
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Returns the owner of each endpoint, by the endpoint's identity. The map is empty if there is no router.
+     * Returns the owner of each endpoint, by the endpoint's identity. The map is empty if no router is eligible.
      *
      * @param endpoints the endpoints
      * @param vms the machines that run routers
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
@@ -133,16 +133,16 @@
     }
 
     private static List<Endpoint> readmitWhereMostAreSuspect(List<Endpoint> endpoints) {
-        Map<String, Integer> suspectMajorities = new HashMap<>();
+        Map<String, Integer> suspectsMinusReady = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
             int suspect = endpoint.state() == EndpointState.SUSPECT ? 1 : 0;
             int ready = endpoint.state() == EndpointState.READY ? 1 : 0;
-            endpoint.pools().forEach(pool -> suspectMajorities.merge(pool, suspect - ready, Integer::sum));
+            endpoint.pools().forEach(pool -> suspectsMinusReady.merge(pool, suspect - ready, Integer::sum));
         }
         return endpoints.stream()
                 .map(endpoint -> {
                     boolean readmitted = endpoint.state() == EndpointState.SUSPECT
-                            && endpoint.pools().stream().anyMatch(pool -> suspectMajorities.getOrDefault(pool, 0) > 0);
+                            && endpoint.pools().stream().anyMatch(pool -> suspectsMinusReady.getOrDefault(pool, 0) > 0);
                     return readmitted ? endpoint.withState(EndpointState.READY) : endpoint;
                 })
                 .toList();
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
@@ -27,7 +27,7 @@
     private static final int MAX_TICKETS = 50_000;
 
     private final LinkedHashMap<Long, Entry<R>> entries = new LinkedHashMap<>();
-    private final Map<String, Integer> openByWorkspace = new HashMap<>();
+    private final Map<String, Integer> unexpiredByWorkspace = new HashMap<>();
     private final int maxPerWorkspace;
     private long lastNumber;
 
@@ -50,12 +50,12 @@
      */
     public synchronized long issue(String workspace, Instant now) {
         removeExpired(now);
-        if (entries.size() >= MAX_TICKETS || openByWorkspace.getOrDefault(workspace, 0) >= maxPerWorkspace) {
+        if (entries.size() >= MAX_TICKETS || unexpiredByWorkspace.getOrDefault(workspace, 0) >= maxPerWorkspace) {
             return -1;
         }
         lastNumber++;
         entries.put(lastNumber, new Entry<>(workspace, now.plus(TICKET_LIFETIME)));
-        openByWorkspace.merge(workspace, 1, Integer::sum);
+        unexpiredByWorkspace.merge(workspace, 1, Integer::sum);
         return lastNumber;
     }
 
@@ -112,7 +112,7 @@
             if (entry.deadline.isAfter(now)) {
                 return;
             }
-            openByWorkspace.merge(entry.workspace, -1, Integer::sum);
+            unexpiredByWorkspace.merge(entry.workspace, -1, Integer::sum);
             iterator.remove();
         }
     }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Ranking.java
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns the endpoints with the highest scores in descending order, found by a partial insertion sort in one pass.
+     * Returns the endpoints with the highest scores in descending order, found by an insertion sort in one pass.
      */
     private static List<Endpoint> highestScored(EndpointList list, long keyHash, int maxEndpoints) {
         int kept = 0;
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
@@ -14,8 +14,8 @@
     private static final LongHashFunction HASH = LongHashFunction.xx3();
     private static final double UNIT_SCALE = 0x1.0p-53;
     private static final int DROPPED_BITS = 11;
-    private static final int SHIFT = 32;
-    private static final long FINAL_MULTIPLIER = 0xD6E8FEB86659FD93L;
+    private static final int MIX_SHIFT = 32;
+    private static final long MIX_MULTIPLIER = 0xD6E8FEB86659FD93L;
     private static final long MEMBER_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private Rendezvous() {
@@ -39,9 +39,9 @@
      */
     public static long mix(long keyHash, long memberHash) {
         long mixed = keyHash ^ (memberHash * MEMBER_MULTIPLIER);
-        mixed = (mixed ^ (mixed >>> SHIFT)) * FINAL_MULTIPLIER;
-        mixed = (mixed ^ (mixed >>> SHIFT)) * FINAL_MULTIPLIER;
-        return mixed ^ (mixed >>> SHIFT);
+        mixed = (mixed ^ (mixed >>> MIX_SHIFT)) * MIX_MULTIPLIER;
+        mixed = (mixed ^ (mixed >>> MIX_SHIFT)) * MIX_MULTIPLIER;
+        return mixed ^ (mixed >>> MIX_SHIFT);
     }
 
     /**
--- a/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
@@ -23,55 +23,55 @@
     @Test
     void anEndpointAcceptsRequestsOnceItHasReportedReady() {
         directory.listed(List.of(engine("a", "1", false)), NOW);
-        assertThat(open()).isEmpty();
+        assertThat(openEndpointIds()).isEmpty();
 
         directory.reported(report("a", "1", 1, EndpointState.READY), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
     void anEmptyListChangesNothing() {
-        readyEngine("a");
+        addReadyEngine("a");
 
         directory.listed(List.of(), NOW.plusSeconds(60));
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
     void anUnlistedEndpointThatStillAnswersIsKept() {
-        readyEngine("a");
-        readyEngine("b");
+        addReadyEngine("a");
+        addReadyEngine("b");
         directory.reported(report("a", "1", 2, EndpointState.READY), NOW.plusSeconds(14));
 
         directory.listed(List.of(engine("b", "1", false)), NOW.plusSeconds(20));
 
-        assertThat(open()).containsExactly("a", "b");
+        assertThat(openEndpointIds()).containsExactly("a", "b");
     }
 
     @Test
     void anUnlistedEndpointThatDoesNotAnswerIsRemoved() {
-        readyEngine("a");
-        readyEngine("b");
+        addReadyEngine("a");
+        addReadyEngine("b");
 
         directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.RETENTION));
 
-        assertThat(open()).containsExactly("b");
+        assertThat(openEndpointIds()).containsExactly("b");
     }
 
     @Test
     void leavingLastsUntilTheEndOfTheIncarnation() {
-        readyEngine("a");
+        addReadyEngine("a");
         directory.listed(List.of(engine("a", "1", true)), NOW);
         directory.listed(List.of(engine("a", "1", false)), NOW);
         directory.reported(report("a", "1", 9, EndpointState.READY), NOW);
-        assertThat(open()).isEmpty();
+        assertThat(openEndpointIds()).isEmpty();
 
         directory.listed(List.of(engine("a", "2", false)), NOW);
         directory.reported(report("a", "2", 1, EndpointState.READY), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
@@ -82,7 +82,7 @@
         boolean changed = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
 
         assertThat(changed).isFalse();
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
@@ -92,38 +92,38 @@
 
         directory.reported(report("a", "1", 99, EndpointState.LEAVING), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
     void aSuspectedEndpointIsExcluded() {
-        readyEngine("a");
-        readyEngine("b");
-        readyEngine("c");
+        addReadyEngine("a");
+        addReadyEngine("b");
+        addReadyEngine("c");
 
         directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
 
-        assertThat(open()).containsExactly("b", "c");
+        assertThat(openEndpointIds()).containsExactly("b", "c");
     }
 
     @Test
     void suspectedEndpointsStayOpenIfMostOfThePoolIsSuspected() {
-        readyEngine("a");
-        readyEngine("b");
-        readyEngine("c");
+        addReadyEngine("a");
+        addReadyEngine("b");
+        addReadyEngine("c");
 
         directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
         directory.reported(report("b", "1", 2, EndpointState.SUSPECT), NOW);
 
-        assertThat(open()).containsExactly("a", "b", "c");
+        assertThat(openEndpointIds()).containsExactly("a", "b", "c");
     }
 
-    private void readyEngine(String id) {
+    private void addReadyEngine(String id) {
         directory.listed(List.of(engine(id, "1", false)), NOW);
         directory.reported(report(id, "1", 1, EndpointState.READY), NOW);
     }
 
-    private List<String> open() {
+    private List<String> openEndpointIds() {
         return directory.view().open(POOL).stream().map(Endpoint::id).toList();
     }
 
