--- a/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
@@ -13,7 +13,7 @@
 import org.radishpass.core.fleet.VmKind;
 import org.radishpass.core.fleet.VmListing;
 
-/** Checks what a router believes of the fleet. */
+/** Checks which endpoints a router considers open to requests after lists and reports. */
 final class FleetDirectoryTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final String POOL = "model@1";
@@ -21,57 +21,57 @@
     private final FleetDirectory directory = new FleetDirectory();
 
     @Test
-    void anEndpointIsOpenOnceItHasReported() {
+    void anEndpointAcceptsRequestsOnceItHasReportedReady() {
         directory.listed(List.of(engine("a", "1", false)), NOW);
-        assertThat(open()).isEmpty();
+        assertThat(openEndpointIds()).isEmpty();
 
         directory.reported(report("a", "1", 1, EndpointState.READY), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
-    void anEmptyListIsNotNews() {
-        readyEngine("a");
+    void anEmptyListChangesNothing() {
+        addReadyEngine("a");
 
         directory.listed(List.of(), NOW.plusSeconds(60));
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
-    void anEndpointThatVanishesFromTheListButAnswersIsKept() {
-        readyEngine("a");
-        readyEngine("b");
+    void anUnlistedEndpointThatStillAnswersIsKept() {
+        addReadyEngine("a");
+        addReadyEngine("b");
         directory.reported(report("a", "1", 2, EndpointState.READY), NOW.plusSeconds(14));
 
         directory.listed(List.of(engine("b", "1", false)), NOW.plusSeconds(20));
 
-        assertThat(open()).containsExactly("a", "b");
+        assertThat(openEndpointIds()).containsExactly("a", "b");
     }
 
     @Test
-    void anEndpointThatNeitherIsListedNorAnswersIsForgotten() {
-        readyEngine("a");
-        readyEngine("b");
+    void anUnlistedEndpointThatDoesNotAnswerIsRemoved() {
+        addReadyEngine("a");
+        addReadyEngine("b");
 
-        directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.MEMORY));
+        directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.RETENTION));
 
-        assertThat(open()).containsExactly("b");
+        assertThat(openEndpointIds()).containsExactly("b");
     }
 
     @Test
-    void leavingIsStickyForTheIncarnationAndEndsWithIt() {
-        readyEngine("a");
+    void leavingLastsUntilTheEndOfTheIncarnation() {
+        addReadyEngine("a");
         directory.listed(List.of(engine("a", "1", true)), NOW);
         directory.listed(List.of(engine("a", "1", false)), NOW);
         directory.reported(report("a", "1", 9, EndpointState.READY), NOW);
-        assertThat(open()).isEmpty();
+        assertThat(openEndpointIds()).isEmpty();
 
         directory.listed(List.of(engine("a", "2", false)), NOW);
         directory.reported(report("a", "2", 1, EndpointState.READY), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
@@ -79,10 +79,10 @@
         directory.listed(List.of(engine("a", "1", false)), NOW);
         directory.reported(report("a", "1", 5, EndpointState.READY), NOW);
 
-        boolean news = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
+        boolean changed = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
 
-        assertThat(news).isFalse();
-        assertThat(open()).containsExactly("a");
+        assertThat(changed).isFalse();
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
@@ -92,38 +92,38 @@
 
         directory.reported(report("a", "1", 99, EndpointState.LEAVING), NOW);
 
-        assertThat(open()).containsExactly("a");
+        assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
-    void suspicionNarrowsTheChoice() {
-        readyEngine("a");
-        readyEngine("b");
-        readyEngine("c");
+    void aSuspectedEndpointIsExcluded() {
+        addReadyEngine("a");
+        addReadyEngine("b");
+        addReadyEngine("c");
 
         directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
 
-        assertThat(open()).containsExactly("b", "c");
+        assertThat(openEndpointIds()).containsExactly("b", "c");
     }
 
     @Test
-    void anObserverThatFindsMostDeadDoubtsItself() {
-        readyEngine("a");
-        readyEngine("b");
-        readyEngine("c");
+    void suspectedEndpointsStayOpenIfMostOfThePoolIsSuspected() {
+        addReadyEngine("a");
+        addReadyEngine("b");
+        addReadyEngine("c");
 
         directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
         directory.reported(report("b", "1", 2, EndpointState.SUSPECT), NOW);
 
-        assertThat(open()).containsExactly("a", "b", "c");
+        assertThat(openEndpointIds()).containsExactly("a", "b", "c");
     }
 
-    private void readyEngine(String id) {
+    private void addReadyEngine(String id) {
         directory.listed(List.of(engine(id, "1", false)), NOW);
         directory.reported(report(id, "1", 1, EndpointState.READY), NOW);
     }
 
-    private List<String> open() {
+    private List<String> openEndpointIds() {
         return directory.view().open(POOL).stream().map(Endpoint::id).toList();
     }
 
