--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/Compression.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/Compression.java
@@ -6,10 +6,16 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Compresses with zlib (RFC 1950), at its fastest level: a router may have an eighth of a core. */
+/**
+ * Compresses documents with zlib (RFC 1950). The level is the fastest, because a router may have only an eighth of a
+ * core.
+ */
 final class Compression {
-    /** The largest document that is unpacked, in bytes: four times the largest value that the store takes. */
-    static final int MOST_BYTES = 16 * 1024 * 1024;
+    /**
+     * The size of the largest document that is decompressed, in bytes: four times the largest value that the store
+     * accepts.
+     */
+    static final int MAX_DOCUMENT_BYTES = 16 * 1024 * 1024;
 
     private static final int BUFFER_BYTES = 16_384;
 
@@ -34,9 +40,10 @@
     }
 
     /**
-     * Reads what {@link #compress} wrote.
+     * Decompresses the output of {@link #compress}.
      *
-     * @throws IOException if it is malformed, ends early, or holds more than {@link #MOST_BYTES}
+     * @throws IOException if the input is malformed or truncated, or the document is larger than {@link
+     *     #MAX_DOCUMENT_BYTES}
      */
     static byte[] decompress(byte[] compressed) throws IOException {
         Inflater inflater = new Inflater();
@@ -47,16 +54,16 @@
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-                    throw new IOException("compressed bytes end early");
+                    throw new IOException("the compressed document is truncated");
                 }
                 out.write(buffer, 0, count);
-                if (out.size() > MOST_BYTES) {
-                    throw new IOException("a document of more than " + MOST_BYTES + " bytes");
+                if (out.size() > MAX_DOCUMENT_BYTES) {
+                    throw new IOException("the document is larger than " + MAX_DOCUMENT_BYTES + " bytes");
                 }
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new IOException("malformed compressed bytes", e);
+            throw new IOException("the compressed document is malformed", e);
         } finally {
             inflater.end();
         }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentDelta.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentDelta.java
@@ -5,30 +5,38 @@
 import java.util.Arrays;
 
 /**
- * What changes one document into another: parts that are copied from the first, and bytes between them. Blocks of the first are
- * found in the second by a rolling hash (Karp and Rabin), wherever they have moved to, and extended as far as both agree.
+ * Computes and applies binary deltas. A delta builds a target document from ranges that are copied from a base document
+ * and from literal bytes between them. A rolling hash (Rabin-Karp) finds blocks of the base in the target, wherever
+ * they have moved to. Each match is extended in both directions as far as the documents agree.
  *
- * <p>A sequence of instructions: a number of bytes and these bytes, then the number of bytes that are copied and where they stand in
- * the base, and so on. Numbers have 7 bits a byte, the lowest first.
+ * <p>A delta alternates between two instructions, the first of them a literal. A literal is its length and its bytes. A
+ * copy is its length and its offset in the base. Numbers are variable-length integers of 7 bits a byte, the lowest bits
+ * first.
  */
 final class DocumentDelta {
     /**
-     * Bytes of a block: a third of a route in a configuration, so that a changed field costs about one route, and over 10,000
-     * blocks in one of 500 KB.
+     * The length of a block in bytes: a third of a route in a configuration. A changed field then adds about one route
+     * to the delta, and a configuration of 500 KB has over 10,000 blocks.
      */
-    private static final int BLOCK = 32;
+    private static final int BLOCK_BYTES = 32;
 
-    /** The factor of the rolling hash: an odd number whose powers differ (that of FNV). */
+    /** The multiplier of the rolling hash: the FNV prime, an odd number whose powers differ. */
     private static final int HASH_FACTOR = 0x01000193;
 
-    private static final int NONE = -1;
-    private static final int BITS = 7;
-    private static final int MORE = 1 << BITS;
+    private static final int NOT_FOUND = -1;
+    private static final int VARINT_PAYLOAD_BITS = 7;
+    private static final int VARINT_CONTINUATION_BIT = 1 << VARINT_PAYLOAD_BITS;
 
     private DocumentDelta() {
         // static methods only
     }
 
+    /**
+     * Computes the delta between two documents.
+     *
+     * @param base the document that the receiver has
+     * @param target the document that the delta produces
+     */
     static byte[] between(byte[] base, byte[] target) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         BlockIndex index = new BlockIndex(base);
@@ -36,20 +44,22 @@
         int position = 0;
         int hash = 0;
         boolean hashed = false;
-        while (position + BLOCK <= target.length) {
-            hash = hashed ? roll(hash, target[position - 1], target[position + BLOCK - 1]) : hash(target, position);
+        while (position + BLOCK_BYTES <= target.length) {
+            hash = hashed
+                    ? roll(hash, target[position - 1], target[position + BLOCK_BYTES - 1])
+                    : hash(target, position);
             hashed = true;
-            int found = index.find(hash, target, position);
-            if (found == NONE) {
+            int matchStart = index.find(hash, target, position);
+            if (matchStart == NOT_FOUND) {
                 position++;
                 continue;
             }
-            int before = commonBefore(base, found, target, position, literalStart);
-            int length = before + common(base, found, target, position);
-            writeLiteral(out, target, literalStart, position - before);
-            writeNumber(out, length);
-            writeNumber(out, found - before);
-            position += length - before;
+            int extension = matchLengthBefore(base, matchStart, target, position, literalStart);
+            int length = extension + matchLengthFrom(base, matchStart, target, position);
+            writeLiteral(out, target, literalStart, position - extension);
+            writeVarint(out, length);
+            writeVarint(out, matchStart - extension);
+            position += length - extension;
             literalStart = position;
             hashed = false;
         }
@@ -60,106 +70,113 @@
     }
 
     /**
-     * Applies a delta.
+     * Applies a delta and returns the target document.
      *
-     * @param base the document that it was made against
-     * @param delta the instructions
-     * @throws IOException if they are malformed, or do not fit the base
+     * @param base the document that the delta was computed against
+     * @param delta the delta
+     * @throws IOException if the delta is malformed, copies from outside the base, or copies beyond {@link
+     *     Compression#MAX_DOCUMENT_BYTES}
      */
     static byte[] apply(byte[] base, byte[] delta) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(base.length);
         Reader reader = new Reader(delta);
-        while (reader.more()) {
-            reader.copy(reader.number(), out);
-            if (!reader.more()) {
+        while (reader.hasMore()) {
+            reader.copyLiteral(reader.readVarint(), out);
+            if (!reader.hasMore()) {
                 break;
             }
-            int length = reader.number();
-            int from = reader.number();
-            if (length > base.length - from || out.size() + (long) length > Compression.MOST_BYTES) {
-                throw new IOException("a delta that does not fit its base");
+            int length = reader.readVarint();
+            int from = reader.readVarint();
+            if (length > base.length - from || out.size() + (long) length > Compression.MAX_DOCUMENT_BYTES) {
+                throw new IOException("the delta does not fit its base");
             }
             out.write(base, from, length);
         }
         return out.toByteArray();
     }
 
-    private static int commonBefore(byte[] base, int found, byte[] target, int position, int least) {
+    private static int matchLengthBefore(byte[] base, int matchStart, byte[] target, int position, int minPosition) {
         int count = 0;
-        while (found - count > 0
-                && position - count > least
-                && base[found - count - 1] == target[position - count - 1]) {
+        while (matchStart - count > 0
+                && position - count > minPosition
+                && base[matchStart - count - 1] == target[position - count - 1]) {
             count++;
         }
         return count;
     }
 
-    private static int common(byte[] base, int found, byte[] target, int position) {
-        int mismatch = Arrays.mismatch(base, found, base.length, target, position, target.length);
-        return mismatch < 0 ? base.length - found : mismatch;
+    private static int matchLengthFrom(byte[] base, int matchStart, byte[] target, int position) {
+        int mismatch = Arrays.mismatch(base, matchStart, base.length, target, position, target.length);
+        return mismatch < 0 ? base.length - matchStart : mismatch;
     }
 
     private static void writeLiteral(ByteArrayOutputStream out, byte[] target, int start, int end) {
-        writeNumber(out, end - start);
+        writeVarint(out, end - start);
         out.write(target, start, end - start);
     }
 
-    private static void writeNumber(ByteArrayOutputStream out, int number) {
-        int rest = number;
-        while (rest >= MORE) {
-            out.write(rest | MORE);
-            rest >>>= BITS;
+    private static void writeVarint(ByteArrayOutputStream out, int number) {
+        int remaining = number;
+        while (remaining >= VARINT_CONTINUATION_BIT) {
+            out.write(remaining | VARINT_CONTINUATION_BIT);
+            remaining >>>= VARINT_PAYLOAD_BITS;
         }
-        out.write(rest);
+        out.write(remaining);
     }
 
     private static int hash(byte[] bytes, int start) {
         int hash = 0;
-        for (int offset = 0; offset < BLOCK; offset++) {
+        for (int offset = 0; offset < BLOCK_BYTES; offset++) {
             hash = hash * HASH_FACTOR + bytes[start + offset];
         }
         return hash;
     }
 
-    private static int roll(int hash, byte leaving, byte coming) {
-        return (hash - leaving * BlockIndex.LEAVING_FACTOR) * HASH_FACTOR + coming;
+    private static int roll(int hash, byte outgoing, byte incoming) {
+        return (hash - outgoing * BlockIndex.OUTGOING_BYTE_FACTOR) * HASH_FACTOR + incoming;
     }
 
-    /** The blocks of a base by their hashes. */
+    /** An index of the blocks of a base by hash. Of the blocks that share a slot, the first in the base is kept. */
     private static final class BlockIndex {
-        /** The factor of a block's first byte in its hash. */
-        private static final int LEAVING_FACTOR = power(HASH_FACTOR, BLOCK - 1);
+        /**
+         * The factor of the first byte of a block in its hash; the rolling hash subtracts that byte when the window
+         * moves.
+         */
+        private static final int OUTGOING_BYTE_FACTOR = power(HASH_FACTOR, BLOCK_BYTES - 1);
 
-        private static final int SLOTS_A_BLOCK = 4;
+        private static final int SLOTS_PER_BLOCK = 4;
 
-        /** Spreads hashes over the slots (Knuth): 2 to the power of 32 over the golden ratio. */
-        private static final int SPREAD = 0x9E3779B9;
+        /**
+         * Distributes hashes over the slots (Knuth's multiplicative hashing): 2 to the power of 32, divided by the
+         * golden ratio.
+         */
+        private static final int SLOT_HASH_MULTIPLIER = 0x9E3779B9;
 
-        /** The low bits of the product are not spread well. */
-        private static final int SPREAD_SHIFT = 8;
+        /** Drops the low bits of the product, which are poorly distributed. */
+        private static final int SLOT_HASH_SHIFT = 8;
 
         private final byte[] base;
         private final int[] slots;
 
         private BlockIndex(byte[] base) {
             this.base = base;
-            int size = Integer.highestOneBit(Math.max(1, base.length / BLOCK)) * SLOTS_A_BLOCK;
+            int size = Integer.highestOneBit(Math.max(1, base.length / BLOCK_BYTES)) * SLOTS_PER_BLOCK;
             this.slots = new int[size];
-            Arrays.fill(slots, NONE);
-            for (int start = base.length / BLOCK * BLOCK - BLOCK; start >= 0; start -= BLOCK) {
+            Arrays.fill(slots, NOT_FOUND);
+            for (int start = base.length / BLOCK_BYTES * BLOCK_BYTES - BLOCK_BYTES; start >= 0; start -= BLOCK_BYTES) {
                 slots[slot(hash(base, start))] = start;
             }
         }
 
         private int find(int hash, byte[] target, int position) {
             int start = slots[slot(hash)];
-            boolean same =
-                    start != NONE && Arrays.equals(base, start, start + BLOCK, target, position, position + BLOCK);
-            return same ? start : NONE;
+            boolean matches = start != NOT_FOUND
+                    && Arrays.equals(base, start, start + BLOCK_BYTES, target, position, position + BLOCK_BYTES);
+            return matches ? start : NOT_FOUND;
         }
 
         private int slot(int hash) {
-            return ((hash * SPREAD) >>> SPREAD_SHIFT) & (slots.length - 1);
+            return ((hash * SLOT_HASH_MULTIPLIER) >>> SLOT_HASH_SHIFT) & (slots.length - 1);
         }
 
         private static int power(int factor, int exponent) {
@@ -171,7 +188,7 @@
         }
     }
 
-    /** Reads instructions. */
+    /** Reads the instructions of a delta. */
     private static final class Reader {
         private final byte[] delta;
         private int position;
@@ -180,28 +197,28 @@
             this.delta = delta;
         }
 
-        private boolean more() {
+        private boolean hasMore() {
             return position < delta.length;
         }
 
-        private int number() throws IOException {
+        private int readVarint() throws IOException {
             int number = 0;
-            for (int shift = 0; shift <= 3 * BITS; shift += BITS) {
-                if (!more()) {
-                    throw new IOException("a delta that ends early");
+            for (int shift = 0; shift <= 3 * VARINT_PAYLOAD_BITS; shift += VARINT_PAYLOAD_BITS) {
+                if (!hasMore()) {
+                    throw new IOException("the delta is truncated");
                 }
                 int next = delta[position++];
-                number |= (next & (MORE - 1)) << shift;
+                number |= (next & (VARINT_CONTINUATION_BIT - 1)) << shift;
                 if (next >= 0) {
                     return number;
                 }
             }
-            throw new IOException("a number of a delta that is too large");
+            throw new IOException("the delta contains a number that is too large");
         }
 
-        private void copy(int count, ByteArrayOutputStream out) throws IOException {
+        private void copyLiteral(int count, ByteArrayOutputStream out) throws IOException {
             if (count > delta.length - position) {
-                throw new IOException("a delta that ends early");
+                throw new IOException("the delta is truncated");
             }
             out.write(delta, position, count);
             position += count;
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentHistory.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentHistory.java
@@ -5,37 +5,52 @@
 import java.util.Optional;
 
 /**
- * The last versions of a document, so that who has one of them is given what has changed since. A plain object; belongs to one thread.
+ * The latest versions of a document. A receiver that has one of them can be sent a delta instead of the whole document.
+ * Not thread-safe.
  *
  * @since 0.4.0
  */
 public final class DocumentHistory {
-    /** Versions that are kept: a router that was cut off for some seconds of a storm of changes has one of them. */
-    static final int MOST_VERSIONS = 8;
+    /**
+     * The number of versions kept. A router that was disconnected for some seconds during a burst of changes still has
+     * one of them.
+     */
+    static final int MAX_VERSIONS = 8;
 
-    /** Bytes that all versions but the newest may have: an eighth of what control may use on a router (32 MB). */
-    static final int MOST_OLD_BYTES = 4 * 1024 * 1024;
+    /**
+     * The total size of all versions but the newest, in bytes: an eighth of the 32 MB that a router's control plane may
+     * use.
+     */
+    static final int MAX_OLD_BYTES = 4 * 1024 * 1024;
 
     private final Deque<SharedDocument> versions = new ArrayDeque<>();
     private int oldBytes;
 
-    /** Adds a newer version. */
+    /**
+     * Adds the newest version and removes the oldest ones that exceed the limits.
+     *
+     * @param document the newest version
+     */
     public void add(SharedDocument document) {
         if (!versions.isEmpty()) {
             oldBytes += versions.getLast().bytes().length;
         }
         versions.addLast(document);
-        while (versions.size() > MOST_VERSIONS || (oldBytes > MOST_OLD_BYTES && versions.size() > 1)) {
+        while (versions.size() > MAX_VERSIONS || (oldBytes > MAX_OLD_BYTES && versions.size() > 1)) {
             oldBytes -= versions.removeFirst().bytes().length;
         }
     }
 
-    /** Returns the newest version. */
+    /** Returns the newest version; {@link SharedDocument#NONE} before one was added. */
     public SharedDocument newest() {
         return versions.isEmpty() ? SharedDocument.NONE : versions.getLast();
     }
 
-    /** Returns the version of a hash, if it is still kept. */
+    /**
+     * Returns the version with a given hash, if it is still kept.
+     *
+     * @param hash the hash of the version
+     */
     public Optional<SharedDocument> find(String hash) {
         return versions.stream().filter(version -> version.hash().equals(hash)).findFirst();
     }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentPacker.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentPacker.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 
 /**
- * Packs documents for those who ask for them: against the version that they have where that is known here, else compressed. A version is
- * packed once for all that have the same one. Belongs to one thread.
+ * Encodes the newest version of a document for a receiver: as a delta if the receiver's version is in the history, else
+ * compressed. Receivers that have the same version share one cached result. Not thread-safe.
  *
  * @since 0.4.0
  */
 public final class DocumentPacker {
-    /** Packed forms that are kept: one for each version that is asked against, in a storm of changes. */
-    private static final int MOST_KEPT = 8;
+    /** The number of cached results: one for each base version that is requested during a burst of changes. */
+    private static final int MAX_CACHED = 8;
 
-    private final Map<Key, PackedDocument> kept = new LinkedHashMap<>() {
+    private final Map<CacheKey, PackedDocument> cache = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Key, PackedDocument> eldest) {
-            return size() > MOST_KEPT;
+        protected boolean removeEldestEntry(Map.Entry<CacheKey, PackedDocument> eldest) {
+            return size() > MAX_CACHED;
         }
     };
 
     /**
-     * Packs the newest version.
+     * Encodes the newest version.
      *
-     * @param history the versions
-     * @param baseHash the hash of the version that the receiver has; empty if it has none
+     * @param history the versions of the document
+     * @param baseHash the hash of the version that the receiver has; empty if the receiver has none
      */
     public PackedDocument pack(DocumentHistory history, String baseHash) {
         SharedDocument newest = history.newest();
-        return kept.computeIfAbsent(
-                new Key(newest.hash(), history.find(baseHash).isPresent() ? baseHash : ""),
+        return cache.computeIfAbsent(
+                new CacheKey(newest.hash(), history.find(baseHash).isPresent() ? baseHash : ""),
                 key -> pack(newest, history.find(key.baseHash).orElse(SharedDocument.NONE)));
     }
 
@@ -38,6 +38,11 @@
         return new PackedDocument(packing, packing.pack(base.bytes(), newest.bytes()), newest.hash(), base.hash());
     }
 
-    /** One version, for those that have another. */
-    private record Key(String hash, String baseHash) {}
+    /**
+     * The key of a cached result.
+     *
+     * @param hash the hash of the encoded version
+     * @param baseHash the hash of the base version; empty for none
+     */
+    private record CacheKey(String hash, String baseHash) {}
 }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentPacking.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/DocumentPacking.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 
 /**
- * How a document is written for its way. The order is part of the protocol.
+ * The encoding of a document in a message between routers. The order of the constants is part of the protocol.
  *
  * @since 0.4.0
  */
 public enum DocumentPacking {
-    /** As it is. */
+    /** The bytes of the document, unchanged. */
     PLAIN {
         @Override
         public byte[] pack(byte[] base, byte[] document) {
@@ -20,7 +20,7 @@
             return packed.clone();
         }
     },
-    /** Compressed: a seventh for a configuration of 1,500 routes. */
+    /** The compressed document. A configuration of 1,500 routes shrinks to a seventh. */
     COMPRESSED {
         @Override
         public byte[] pack(byte[] base, byte[] document) {
@@ -32,7 +32,7 @@
             return Compression.decompress(packed);
         }
     },
-    /** What differs from a document that the receiver has, compressed: some hundred bytes for a change of one route. */
+    /** The compressed delta against a document that the receiver has: some hundred bytes for a change of one route. */
     DELTA {
         @Override
         public byte[] pack(byte[] base, byte[] document) {
@@ -46,19 +46,20 @@
     };
 
     /**
-     * Writes a document.
+     * Encodes a document.
      *
-     * @param base a document that the receiver has; not used by all
-     * @param document the document
+     * @param base a document that the receiver has; only {@link #DELTA} uses it
+     * @param document the document to encode
      */
     public abstract byte[] pack(byte[] base, byte[] document);
 
     /**
-     * Reads a document.
+     * Decodes a document.
      *
-     * @param base the document that it was packed against; not used by all
-     * @param packed what came
-     * @throws IOException if it is malformed or larger than {@link Compression#MOST_BYTES}
+     * @param base the document that the sender encoded against; only {@link #DELTA} uses it
+     * @param packed the encoded document
+     * @throws IOException if the encoding is malformed, or decompression produces more than {@link
+     *     Compression#MAX_DOCUMENT_BYTES}
      */
     public abstract byte[] unpack(byte[] base, byte[] packed) throws IOException;
 }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/PackedDocument.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/PackedDocument.java
@@ -3,29 +3,29 @@
 import java.io.IOException;
 
 /**
- * A document as it travels.
+ * An encoded document, as routers send it.
  *
- * @param packing how it is written
- * @param content what travels
- * @param hash the hash of the document
- * @param baseHash the hash of the document that it was packed against; empty for none
+ * @param packing the encoding
+ * @param content the encoded bytes
+ * @param hash the hash of the decoded document; empty if the sender did not state it
+ * @param baseHash the hash of the version that the document was encoded against; empty for none
  * @since 0.4.0
  */
 public record PackedDocument(DocumentPacking packing, byte[] content, String hash, String baseHash) {
     /**
-     * Reads the document.
+     * Decodes the document and checks its hash.
      *
-     * @param base a document that the receiver has
-     * @return the document; its hash is the one that was told
-     * @throws IOException if it is malformed, was packed against another base, or is not the document that was told
+     * @param base the version that the receiver has
+     * @throws IOException if the encoding is malformed, its base is another version, or the hash of the result is not
+     *     {@link #hash}
      */
     public SharedDocument unpack(SharedDocument base) throws IOException {
         if (!baseHash.isEmpty() && !baseHash.equals(base.hash())) {
-            throw new IOException("a document against a version that is not in force here any more");
+            throw new IOException("the document was packed against a version that is no longer in use here");
         }
         SharedDocument document = SharedDocument.of(packing.unpack(base.bytes(), content));
         if (!hash.isEmpty() && !hash.equals(document.hash())) {
-            throw new IOException("a document whose hash is not the one that was told");
+            throw new IOException("the hash of the document does not match the hash in the message");
         }
         return document;
     }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/SharedDocument.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/SharedDocument.java
@@ -6,12 +6,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A document that is given to others, and the hash by which they know it. Its bytes must not be changed. Belongs to one thread.
+ * A document that routers exchange, with the hash that identifies its content. Its bytes must not be changed. Not
+ * thread-safe: the hash is computed lazily.
  *
  * @since 0.4.0
  */
 public final class SharedDocument {
-    /** No document. */
+    /** The placeholder for a missing document: no bytes and an empty hash. */
     public static final SharedDocument NONE = new SharedDocument(new byte[0], "");
 
     private final byte[] bytes;
@@ -23,22 +24,22 @@
     }
 
     /**
-     * Takes a document over.
+     * Wraps the bytes of a document without copying them.
      *
-     * @param bytes its bytes, which must not be changed any more
+     * @param bytes the document; the caller must not change it afterwards
      */
     public static SharedDocument of(byte[] bytes) {
         return new SharedDocument(bytes, null);
     }
 
-    /** Returns its bytes, which must not be changed. */
+    /** Returns the bytes of the document. The array is not a copy and must not be changed. */
     public byte[] bytes() {
         return bytes;
     }
 
     /**
-     * Returns the hash of its bytes; empty for no document. It is computed when it is first asked for: right after a start that takes 23 ms
-     * for 670 KB, and the first callers wait.
+     * Returns the SHA-256 hash of the document in hexadecimal digits; empty for {@link #NONE}. The hash is computed on
+     * the first call, because right after a start hashing 670 KB takes 23 ms and would delay the first callers.
      */
     public String hash() {
         String known = hash;
@@ -53,7 +54,7 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("every Java platform must provide SHA-256", e);
         }
     }
 }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/document/package-info.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/document/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Documents on their way between routers: compressed, or as what has changed since one that the receiver has.
+ * Encoding of documents that routers exchange: compressed, or as a delta against a version that the receiver has.
  *
  * @since 0.4.0
  */
--- a/radishpass-peer/src/test/java/org/radishpass/peer/document/DocumentDeltaTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/document/DocumentDeltaTest.java
@@ -10,15 +10,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Checks that a delta gives the document that it was made from, and costs little where little has changed. */
+/** Checks that applying a delta restores the target document, and that small changes give small deltas. */
 final class DocumentDeltaTest {
-    private static final int TRIES = 300;
+    private static final int ATTEMPTS = 300;
 
     private final Random random = new Random(20_261_203);
 
     @Test
-    void whatItIsMadeFromComesBack() throws IOException {
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+    void applyingADeltaRestoresTheTarget() throws IOException {
+        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
             byte[] base = bytes(random.nextInt(3_000));
             byte[] target = edited(base);
             assertWithMessage("attempt %s", attempt)
@@ -28,17 +28,20 @@
     }
 
     @Test
-    void emptyDocumentsAreDocuments() throws IOException {
-        byte[] none = {};
-        byte[] some = bytes(100);
-
-        assertThat(DocumentDelta.apply(none, DocumentDelta.between(none, some))).isEqualTo(some);
-        assertThat(DocumentDelta.apply(some, DocumentDelta.between(some, none))).isEqualTo(none);
-        assertThat(DocumentDelta.apply(none, DocumentDelta.between(none, none))).isEqualTo(none);
+    void emptyDocumentsAreSupported() throws IOException {
+        byte[] empty = {};
+        byte[] document = bytes(100);
+
+        assertThat(DocumentDelta.apply(empty, DocumentDelta.between(empty, document)))
+                .isEqualTo(document);
+        assertThat(DocumentDelta.apply(document, DocumentDelta.between(document, empty)))
+                .isEqualTo(empty);
+        assertThat(DocumentDelta.apply(empty, DocumentDelta.between(empty, empty)))
+                .isEqualTo(empty);
     }
 
     @Test
-    void aChangeOfOneRouteOf1500CostsLittle() {
+    void aChangeOfOneRouteOf1500GivesASmallDelta() {
         byte[] base = routes(1_500, -1);
         byte[] target = routes(1_500, 700);
 
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void aRouteThatIsAddedAtTheFrontCostsLittle() {
+    void aRouteAddedAtTheFrontGivesASmallDelta() {
         byte[] base = routes(1_500, -1);
         byte[] target = ("{\"name\":\"new\",\"host\":\"n.example\"}\n" + new String(base, StandardCharsets.UTF_8))
                 .getBytes(StandardCharsets.UTF_8);
@@ -55,13 +58,13 @@
     }
 
     @Test
-    void damagedDeltasAreErrorsOrOtherDocuments() {
+    void aDamagedDeltaFailsOrStillGivesTheTarget() {
         byte[] base = routes(20, -1);
         SharedDocument document = SharedDocument.of(routes(20, 7));
-        byte[] sound = DocumentPacking.DELTA.pack(base, document.bytes());
+        byte[] intact = DocumentPacking.DELTA.pack(base, document.bytes());
         SharedDocument sharedBase = SharedDocument.of(base);
-        for (int attempt = 0; attempt < TRIES; attempt++) {
-            byte[] damaged = sound.clone();
+        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+            byte[] damaged = intact.clone();
             damaged[random.nextInt(damaged.length)] ^= (byte) (1 + random.nextInt(255));
             PackedDocument packed =
                     new PackedDocument(DocumentPacking.DELTA, damaged, document.hash(), sharedBase.hash());
@@ -70,14 +73,14 @@
     }
 
     @Test
-    void cutDeltasAreErrorsOrOtherDocuments() throws IOException {
+    void aTruncatedDeltaFailsOrGivesAnotherDocument() throws IOException {
         byte[] base = routes(20, -1);
         byte[] target = routes(20, 7);
         byte[] delta = DocumentDelta.between(base, target);
         for (int length = 0; length < delta.length; length++) {
-            byte[] cut = Arrays.copyOf(delta, length);
+            byte[] truncated = Arrays.copyOf(delta, length);
             try {
-                assertThat(DocumentDelta.apply(base, cut)).isNotEqualTo(target);
+                assertThat(DocumentDelta.apply(base, truncated)).isNotEqualTo(target);
             } catch (IOException e) {
                 assertThat(e).hasMessageThat().contains("delta");
             }
@@ -85,7 +88,7 @@
     }
 
     @Test
-    void aCopyFromBeyondTheBaseIsAnError() {
+    void aCopyBeyondTheEndOfTheBaseFails() {
         byte[] delta = {0, 100, 0};
 
         assertThrows(IOException.class, () -> DocumentDelta.apply(new byte[50], delta));
@@ -104,11 +107,11 @@
         for (int change = random.nextInt(4); change >= 0; change--) {
             int from = random.nextInt(target.length + 1);
             int to = from + random.nextInt(target.length - from + 1);
-            byte[] put = bytes(random.nextInt(80));
-            byte[] next = new byte[target.length - (to - from) + put.length];
+            byte[] inserted = bytes(random.nextInt(80));
+            byte[] next = new byte[target.length - (to - from) + inserted.length];
             System.arraycopy(target, 0, next, 0, from);
-            System.arraycopy(put, 0, next, from, put.length);
-            System.arraycopy(target, to, next, from + put.length, target.length - to);
+            System.arraycopy(inserted, 0, next, from, inserted.length);
+            System.arraycopy(target, to, next, from + inserted.length, target.length - to);
             target = next;
         }
         return target;
@@ -120,7 +123,9 @@
         return bytes;
     }
 
-    /** Returns a configuration, one route a line, one of which has another timeout. */
+    /**
+     * Returns a configuration with one route per line. The route with the index {@code changed} has another timeout.
+     */
     private static byte[] routes(int count, int changed) {
         Random names = new Random(11);
         StringBuilder text = new StringBuilder();
--- a/radishpass-peer/src/test/java/org/radishpass/peer/document/DocumentPackerTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/document/DocumentPackerTest.java
@@ -7,13 +7,15 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Checks what those are given that have an older version, another document or none. */
+/**
+ * Checks the encoding for receivers that have an older version, an unknown version or none, and the checks on decoding.
+ */
 final class DocumentPackerTest {
     private final DocumentHistory history = new DocumentHistory();
     private final DocumentPacker packer = new DocumentPacker();
 
     @Test
-    void whoHasNothingIsGivenTheWholeCompressed() throws IOException {
+    void aReceiverWithoutAVersionGetsTheCompressedDocument() throws IOException {
         SharedDocument newest = add("a".repeat(5_000));
 
         PackedDocument packed = packer.pack(history, "");
@@ -24,7 +26,7 @@
     }
 
     @Test
-    void whoHasAnOlderVersionIsGivenWhatHasChanged() throws IOException {
+    void aReceiverWithAnOlderVersionGetsADelta() throws IOException {
         SharedDocument old = add("one");
         add("two");
         SharedDocument newest = add("three");
@@ -36,7 +38,7 @@
     }
 
     @Test
-    void whoHasAVersionThatIsNotKnownIsGivenTheWhole() {
+    void aReceiverWithAnUnknownVersionGetsTheCompressedDocument() {
         add("one");
 
         assertThat(packer.pack(history, SharedDocument.of(bytes("other")).hash())
@@ -45,7 +47,7 @@
     }
 
     @Test
-    void oneVersionIsPackedOnceForAllThatHaveTheSame() {
+    void aDocumentIsPackedOnlyOncePerBaseVersion() {
         SharedDocument old = add("one");
         add("two");
 
@@ -53,7 +55,7 @@
     }
 
     @Test
-    void aDocumentAgainstAnotherBaseIsNotTaken() {
+    void aDeltaAgainstAnotherBaseIsRejected() {
         SharedDocument old = add("one");
         add("two");
         PackedDocument packed = packer.pack(history, old.hash());
@@ -62,7 +64,7 @@
     }
 
     @Test
-    void aDocumentWithAnotherHashIsNotTaken() {
+    void aDocumentWithAWrongHashIsRejected() {
         PackedDocument forged = new PackedDocument(
                 DocumentPacking.PLAIN,
                 bytes("forged"),
@@ -73,21 +75,21 @@
     }
 
     @Test
-    void aBombIsNotUnpacked() {
-        byte[] bomb = Compression.compress(new byte[Compression.MOST_BYTES + 1]);
+    void aDecompressionBombIsRejected() {
+        byte[] bomb = Compression.compress(new byte[Compression.MAX_DOCUMENT_BYTES + 1]);
 
         assertThrows(IOException.class, () -> Compression.decompress(bomb));
     }
 
     @Test
-    void oldVersionsAreForgottenByNumberAndBySize() {
+    void oldVersionsAreEvictedByCountAndBySize() {
         SharedDocument first = add("first");
-        for (int version = 0; version < DocumentHistory.MOST_VERSIONS; version++) {
+        for (int version = 0; version < DocumentHistory.MAX_VERSIONS; version++) {
             add("version " + version);
         }
         assertThat(history.find(first.hash())).isEmpty();
 
-        SharedDocument large = add("x".repeat(DocumentHistory.MOST_OLD_BYTES + 1));
+        SharedDocument large = add("x".repeat(DocumentHistory.MAX_OLD_BYTES + 1));
         assertThat(history.newest()).isSameInstanceAs(large);
         SharedDocument next = add("next");
         assertThat(history.find(large.hash())).isEmpty();
