--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/Envelope.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/Envelope.java
@@ -4,21 +4,22 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * A message with the number that ties an answer to its request.
+ * A message with the id that correlates a response with its request.
  *
- * @param id above 0 for a request, its negative for the answer, 0 for a message without an answer
+ * @param id the id: positive for a request, the negated id of the request for a response, 0 for a message without a
+ *     response
  * @param message the message
  * @since 0.1.0
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Envelope(long id, PeerMessage message) {
-    /** Tells whether this answers a request. */
+    /** Tells whether the message is the response to a request. */
     @JsonIgnore
     public boolean answer() {
         return id < 0;
     }
 
-    /** Tells whether an answer is expected. */
+    /** Tells whether the message is a request, whose sender expects a response. */
     @JsonIgnore
     public boolean request() {
         return id > 0;
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerCodec.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerCodec.java
@@ -8,7 +8,7 @@
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
 /**
- * Turns envelopes into MessagePack and back.
+ * Encodes envelopes as MessagePack and decodes them.
  *
  * @since 0.1.0
  */
@@ -22,30 +22,32 @@
     }
 
     /**
-     * Writes an envelope.
+     * Encodes an envelope.
      *
      * @param envelope the envelope
-     * @throws IOException if it cannot be written
+     * @throws IOException if the envelope cannot be encoded
      */
     public static byte[] encode(Envelope envelope) throws IOException {
         return MAPPER.writeValueAsBytes(envelope);
     }
 
     /**
-     * Reads an envelope.
+     * Decodes an envelope.
      *
-     * @param bytes the MessagePack
-     * @throws IOException if it is malformed
+     * @param bytes the envelope in MessagePack
+     * @throws IOException if the bytes are malformed or contain no message
      */
     public static Envelope decode(byte[] bytes) throws IOException {
         Envelope envelope = read(bytes);
         if (envelope == null || envelope.message() == null) {
-            throw new IOException("an envelope without a message");
+            throw new IOException("the envelope has no message");
         }
         return envelope;
     }
 
-    /** The library answers some malformed bytes with unchecked exceptions, a null pointer among them. */
+    /**
+     * Decodes bytes. The library throws unchecked exceptions on some malformed bytes, among them NullPointerException.
+     */
     private static @Nullable Envelope read(byte[] bytes) throws IOException {
         try {
             return MAPPER.readValue(bytes, Envelope.class);
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerMessage.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerMessage.java
@@ -14,8 +14,9 @@
 /**
  * A message between routers.
  *
- * <p>Each is written as an array, so the order of components is part of the protocol: new ones are added at the end. What
- * would be a deadline is sent as what is left of it, and becomes a deadline by the receiver's own clock.
+ * <p>Each message is encoded as an array, so the order of the components is part of the protocol: new components are
+ * added at the end. Deadlines are sent as the remaining time, because clocks differ; the receiver converts them to
+ * deadlines on its own clock.
  *
  * @since 0.1.0
  */
@@ -61,37 +62,37 @@
                 PeerMessage.TicketDone,
                 PeerMessage.Done,
                 RoutingMessage {
-    /** Returns the name under which its bytes are counted. */
+    /** Returns the kind of this message: the label under which its bytes are counted. */
     default String kind() {
         return getClass().getSimpleName();
     }
 
     /**
-     * Returns who speaks, if this is the first message on a connection.
+     * Returns the identity of the sender, if this message introduces the sender on a new connection.
      *
      * @since 0.3.0
      */
-    default Optional<String> speaker() {
+    default Optional<String> senderId() {
         return Optional.empty();
     }
 
     /**
-     * The first message on a connection: who speaks.
+     * Introduces the sender: the first message on a connection.
      *
-     * @param vmId the speaker's machine
-     * @param incarnation which start of it this is
-     * @param revision the configuration it has in force
+     * @param vmId the id of the sender's VM
+     * @param incarnation identifies the current run of the sender; a restart changes it
+     * @param revision the revision of the configuration in force at the sender
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Hello(String vmId, String incarnation, long revision) implements PeerMessage {
         @Override
-        public Optional<String> speaker() {
+        public Optional<String> senderId() {
             return Optional.of(vmId);
         }
     }
 
     /**
-     * Tells of a revision that the store has accepted.
+     * Announces a revision of the configuration that the store has accepted.
      *
      * @param revision the revision
      */
@@ -99,33 +100,33 @@
     record Head(long revision) implements PeerMessage {}
 
     /**
-     * Asks for the configuration after a revision.
+     * Requests the configuration changes after a revision; {@link Changes} is the response.
      *
-     * @param after the revision
+     * @param after the revision that the sender has
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record ChangesWanted(long after) implements PeerMessage {}
 
     /**
-     * The configuration as the sender has it.
+     * The sender's configuration: either the changes since the requested revision, or all records.
      *
      * @param revision the sender's revision
-     * @param changes the changes since the revision asked for, if the sender still has all of them
-     * @param records else all records
+     * @param changes the changes since the requested revision, if the sender still has all of them
+     * @param records all records, if the sender no longer has all changes
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Changes(long revision, List<ConfigurationChange> changes, List<StoredRecord> records)
             implements PeerMessage {}
 
     /**
-     * Asks an endpoint's owner for a slot.
+     * Requests a slot from the owner of an endpoint; {@link SlotReply} is the response.
      *
-     * @param slotId the slot, unique among its holder's
+     * @param slotId the id of the slot, unique among the slots of its holder
      * @param endpointId the endpoint
-     * @param pool the pool whose mean load counts
+     * @param pool the pool whose mean load limits the endpoint's load
      * @param priority the class of the request
-     * @param bound the multiple of the mean
-     * @param leftMillis after how long the slot lapses
+     * @param bound the multiple of the mean load that the endpoint may run
+     * @param leftMillis the time until the slot expires, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotWanted(
@@ -138,11 +139,11 @@
             implements PeerMessage {}
 
     /**
-     * Answers {@link SlotWanted}.
+     * The response to {@link SlotWanted}.
      *
-     * @param answer granted or why not
-     * @param running the endpoint's load
-     * @param limit the most that it may run for this pool and bound
+     * @param answer whether the slot was granted, or why not
+     * @param running the number of requests that the endpoint runs
+     * @param limit the number of requests that the endpoint may run for this pool and bound
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotReply(
@@ -150,21 +151,21 @@
             implements PeerMessage {}
 
     /**
-     * Frees a slot.
+     * Releases a slot.
      *
-     * @param slotId the slot, unique among its holder's
+     * @param slotId the id of the slot, unique among the slots of its holder
      * @param endpointId the endpoint
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotFreed(long slotId, String endpointId) implements PeerMessage {}
 
     /**
-     * Tells a new owner of a slot that an earlier owner granted.
+     * Informs the new owner of an endpoint about a slot that an earlier owner granted.
      *
-     * @param slotId the slot, unique among its holder's
+     * @param slotId the id of the slot, unique among the slots of its holder
      * @param endpointId the endpoint
      * @param priority the class of the request
-     * @param leftMillis after how long the slot lapses
+     * @param leftMillis the time until the slot expires, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotHeld(
@@ -175,49 +176,50 @@
             implements PeerMessage {}
 
     /**
-     * An owner's parts of pools, for the router that adds them up; it answers with {@link PoolTotals}.
+     * The sender's share of the load of pools, for the router that computes the totals; {@link PoolTotals} is the
+     * response.
      *
-     * @param parts the load of the endpoints that the sender owns
+     * @param parts for each pool, the load of the endpoints that the sender owns
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record PoolParts(List<PoolSum> parts) implements PeerMessage {}
 
     /**
-     * The load of whole pools.
+     * The total load of pools.
      *
-     * @param totals the pools that were asked about
+     * @param totals the load of each requested pool
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record PoolTotals(List<PoolSum> totals) implements PeerMessage {}
 
     /**
-     * The load of a pool or of a part of it.
+     * The load of a pool or of a part of a pool.
      *
      * @param pool the pool
-     * @param running the requests that run
-     * @param weight the sum of weights
+     * @param running the number of running requests
+     * @param weight the sum of the weights of the endpoints
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record PoolSum(String pool, int running, float weight) {}
 
     /**
-     * What an owner's probes found.
+     * The states of endpoints, as the sender's probes found them. The sender owns these endpoints.
      *
-     * @param reports a report for each endpoint
+     * @param reports one report for each endpoint
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndpointReports(List<EndpointReport> reports) implements PeerMessage {}
 
     /**
-     * What an endpoint said of itself.
+     * The state that an endpoint reported about itself.
      *
      * @param endpointId the endpoint
-     * @param incarnation which start of it
-     * @param sequence grows with each report of an incarnation
-     * @param state the stage of its life
-     * @param pools the pools that it serves
-     * @param running the requests that it runs
-     * @param capacity the requests that it can run at once
+     * @param incarnation identifies the current run of the endpoint; a restart changes it
+     * @param sequence the number of the report, which increases within an incarnation
+     * @param state the lifecycle state of the endpoint
+     * @param pools the pools that the endpoint serves
+     * @param running the number of requests that the endpoint runs
+     * @param capacity the number of requests that the endpoint can run at once
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndpointReport(
@@ -230,25 +232,25 @@
             int capacity) {}
 
     /**
-     * Tells that the sender is stopping.
+     * Announces that the sender is stopping.
      *
-     * @param vmId the sender
+     * @param vmId the id of the sender's VM
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Leaving(String vmId) implements PeerMessage {}
 
     /**
-     * Passes a call on to the router that gave its ticket out; it answers with {@link TicketDone}.
+     * Forwards a call with a ticket to the router that issued the ticket; {@link TicketDone} is the response.
      *
      * @param ticket the ticket
-     * @param workspace the workspace, whose key the sender has checked
+     * @param workspace the workspace; the sender has already checked its API key
      * @param service the service
      * @param method the HTTP method
-     * @param path the path and query at the service
-     * @param contentType the type of the body, empty without one
+     * @param path the path and query of the call at the service
+     * @param contentType the media type of the body; empty without a body
      * @param body the body
      * @param priority the class of the request
-     * @param leftMillis what is left until its deadline
+     * @param leftMillis the time until the deadline of the call, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record TicketRun(
@@ -264,20 +266,20 @@
             implements PeerMessage {}
 
     /**
-     * What became of a call with a ticket: an answer, or a refusal if the code is not empty.
+     * The result of a call with a ticket: a response, or a refusal if the code is not empty.
      *
      * @param status the HTTP status
-     * @param contentType the type of the body, empty without one
+     * @param contentType the media type of the body; empty without a body
      * @param body the body
-     * @param code the code of a refusal
+     * @param code the code of a refusal; empty for a response
      * @param verdict the verdict of a refusal
-     * @param detail one sentence for people
+     * @param detail the reason of a refusal, as one human-readable sentence
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record TicketDone(int status, String contentType, byte[] body, String code, String verdict, String detail)
             implements PeerMessage {}
 
-    /** An answer without content. */
+    /** The response to a request whose response has no content. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Done() implements PeerMessage {}
 }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
@@ -8,41 +8,41 @@
 import org.radishpass.peer.document.PackedDocument;
 
 /**
- * A message between routers of routed requests.
+ * A message between routers that route requests to endpoints.
  *
  * @since 0.3.0
  */
 public sealed interface RoutingMessage extends PeerMessage {
     /**
-     * The first message on a connection: the router that speaks.
+     * Introduces the sender: the first message on a connection.
      *
-     * @param router the speaker
+     * @param router the sender
      * @since 0.3.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Introduction(RouterEntry router) implements RoutingMessage {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public Introduction {
             Objects.requireNonNull(router, "router");
         }
 
         @Override
-        public Optional<String> speaker() {
+        public Optional<String> senderId() {
             return Optional.of(router.address());
         }
     }
 
     /**
-     * One router.
+     * A router, as its peers know it.
      *
-     * @param address where it listens for peers, as IP:PORT
-     * @param dataCentre where it stands; empty if the sender does not know
-     * @param cores the processor time that it may use, in cores
+     * @param address the address on which the router listens for peers, as IP:PORT
+     * @param dataCentre the data centre of the router; empty if the sender does not know it
+     * @param cores the processor time that the router may use, in cores
      * @since 0.3.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RouterEntry(String address, String dataCentre, double cores) {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public RouterEntry {
             Objects.requireNonNull(address, "address");
             Objects.requireNonNull(dataCentre, "dataCentre");
@@ -50,36 +50,38 @@
     }
 
     /**
-     * Routers that the sender knows to be alive.
+     * The routers that the sender knows to be alive.
      *
      * @param routers the routers
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RouterList(List<RouterEntry> routers) implements RoutingMessage {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public RouterList {
             routers = List.copyOf(routers);
         }
     }
 
     /**
-     * What a router tells several times a second: work in flight, and how new its knowledge is.
+     * A periodic report, sent several times a second: work in flight, and how recent the sender's data is.
      *
-     * @param configuration the version of the configuration that it has in force; -1 before it knows one
-     * @param directory the revision of the endpoint list that it read last; -1 before it has read one
-     * @param work the work in flight that the message speaks of, by endpoint
+     * @param configuration the version of the configuration in force at the sender; -1 before the sender has one
+     * @param directory the revision of the endpoint list that the sender read last; -1 before the sender has read one
+     * @param work the work in flight at each endpoint, of the routers in the scope
      * @param directoryHash the hash of the endpoint list
-     * @param directoryReadMillis when the store was read for that list, on the store's clock in milliseconds
-     * @param directorySettled whether endpoints that the reading lacked are left out of that list
-     * @param failing the endpoints that were seen to fail too many requests
-     * @param scope whose work this is
-     * @param ownReadMillis when the sender itself read the store last, on the store's clock in milliseconds
-     * @param drains the data centres of which the operator has said whether their endpoints are to get nothing new
-     * @param leaving endpoints whose own answers stated that they are leaving, which the store has not confirmed yet; a part of them if
-     *     they are many
-     * @param directoryEra how often the store had been restored from a snapshot when it was read for that list; 0 from earlier releases
-     * @param storeEra how often the store has been restored from a snapshot, as far as the sender knows; 0 from earlier releases
+     * @param directoryReadMillis the time when the store was read for that list, on the store's clock in milliseconds
+     * @param directorySettled whether endpoints that were missing from that read have been removed from the list
+     * @param failing the endpoints that fail too many requests
+     * @param scope the routers whose work the message describes
+     * @param ownReadMillis the time when the sender itself last read the store, on the store's clock in milliseconds
+     * @param drains the data centres for which the operator has set whether they are drained
+     * @param leaving endpoints whose own responses stated that they are leaving, and whose leaving the store has not
+     *     confirmed yet; only some of them if there are many
+     * @param directoryEra the number of times that the store had been restored from a snapshot when it was read for the
+     *     endpoint list; 0 from earlier releases
+     * @param storeEra the number of times that the store has been restored from a snapshot, as far as the sender knows;
+     *     0 from earlier releases
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -98,8 +100,11 @@
             long directoryEra,
             long storeEra)
             implements RoutingMessage {
-        /** Refuses a message that lacks a component; earlier releases do not tell of drained data centres, or of leaving endpoints. */
-        @SuppressWarnings("NullAway") // a decoder leaves out what a message lacks
+        /**
+         * Rejects a message that lacks a component, except drained data centres and leaving endpoints: earlier releases
+         * do not send them.
+         */
+        @SuppressWarnings("NullAway") // the decoder passes null for components that a message lacks
         public RoutingState {
             work = List.copyOf(work);
             failing = List.copyOf(failing);
@@ -110,45 +115,48 @@
     }
 
     /**
-     * Whether endpoints of a data centre are to get nothing new.
+     * Whether a data centre is drained, that is, whether its endpoints get no new requests.
      *
      * @param dataCentre the data centre
-     * @param revision the store's revision at which that was said; the highest of the latest era holds
-     * @param drained whether they are to get nothing new; false once that was taken back
-     * @param forMillis for how long that has held, as far as the sender knows
-     * @param era how often the store had been restored from a snapshot when that was said; 0 from earlier releases
+     * @param revision the revision of the store at which this was set; of several entries, the one with the latest era
+     *     and then the highest revision applies
+     * @param drained whether the data centre is drained; false once the drain was revoked
+     * @param forMillis the time since this took effect, as far as the sender knows, in milliseconds
+     * @param era the number of times that the store had been restored from a snapshot when this was set; 0 from earlier
+     *     releases
      * @since 0.6.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record DrainEntry(String dataCentre, long revision, boolean drained, long forMillis, long era) {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public DrainEntry {
             Objects.requireNonNull(dataCentre, "dataCentre");
         }
     }
 
     /**
-     * Work in flight at one endpoint.
+     * The work in flight at an endpoint.
      *
      * @param endpointId the endpoint
-     * @param requests the requests
-     * @param tokens their prompt tokens and the most tokens that they may generate
+     * @param requests the number of requests
+     * @param tokens the prompt tokens of these requests plus the maximum number of tokens that they may generate
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndpointWork(String endpointId, int requests, long tokens) {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public EndpointWork {
             Objects.requireNonNull(endpointId, "endpointId");
         }
     }
 
     /**
-     * What a router tells of requests with which endpoints have ended; told at once, and again a second later.
+     * Requests that may crash endpoints: endpoints ended while running them. Sent at once, and again a second later.
      *
      * @param suspects the requests
-     * @param cleared requests that were answered since they were told of
-     * @param scope how far the message has come: from a member, from the router that gathers a group, or to its members
+     * @param cleared requests that were reported earlier and have been answered since
+     * @param scope the stage of propagation: from a member to its leader, between leaders, or from a leader to its
+     *     members
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -157,7 +165,7 @@
             List<RequestName> cleared,
             @JsonFormat(shape = JsonFormat.Shape.NUMBER) WorkScope scope)
             implements RoutingMessage {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public SuspectRequests {
             suspects = List.copyOf(suspects);
             cleared = List.copyOf(cleared);
@@ -166,27 +174,28 @@
     }
 
     /**
-     * A request by its digests; nothing of the request itself is told.
+     * Identifies a request by digests, so that none of its content is sent.
      *
-     * @param workspace that of the workspace's name
-     * @param target that of method, host, path and query
-     * @param body that of the body
+     * @param workspace the digest of the workspace's name
+     * @param target the digest of method, host, path and query
+     * @param body the digest of the body
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RequestName(long workspace, long target, long body) {}
 
     /**
-     * A request with which endpoints have ended.
+     * A request during which endpoints have ended.
      *
-     * @param request the request
-     * @param ends the endpoints
-     * @param triedMillisAgo how long ago it was let through to find out whether it still ends its endpoint; negative if it was not
+     * @param request the digests of the request
+     * @param ends the endpoints that ended
+     * @param triedMillisAgo the time since the request was last let through to test whether it still ends its endpoint,
+     *     in milliseconds; negative if it was not let through
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SuspectRequest(RequestName request, List<EndedEndpoint> ends, long triedMillisAgo) {
-        /** Refuses a message that lacks a component. */
+        /** Rejects a message that lacks a component. */
         public SuspectRequest {
             Objects.requireNonNull(request, "request");
             ends = List.copyOf(ends);
@@ -194,28 +203,28 @@
     }
 
     /**
-     * An endpoint that ended while a request was at work there.
+     * An endpoint that ended while it was running a request.
      *
-     * @param endpointHash the hash of its id
-     * @param ageMillis how long ago
-     * @param atWorkMillis how long before its end the request had been sent there
+     * @param endpointHash the hash of the endpoint's id
+     * @param ageMillis the time since the endpoint ended, in milliseconds
+     * @param atWorkMillis the time between sending the request to the endpoint and the endpoint's end, in milliseconds
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndedEndpoint(long endpointHash, long ageMillis, long atWorkMillis) {}
 
     /**
-     * Asks for a document that the receiver holds; it is answered with a {@link Document}.
+     * Requests a document from the receiver; {@link Document} is the response.
      *
-     * @param name which
-     * @param unpacks whether the sender reads packed documents
-     * @param baseHash the hash of the version that the sender has; empty if it has none
+     * @param name the name of the document
+     * @param unpacks whether the sender can decode packed documents
+     * @param baseHash the hash of the version that the sender has; empty if the sender has none
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record DocumentWanted(String name, boolean unpacks, String baseHash) implements RoutingMessage {
-        /** Refuses a message that lacks its name; earlier releases send nothing else. */
-        @SuppressWarnings("NullAway") // a decoder leaves out what a message lacks
+        /** Rejects a message that lacks the name; earlier releases send nothing else. */
+        @SuppressWarnings("NullAway") // the decoder passes null for components that a message lacks
         public DocumentWanted {
             Objects.requireNonNull(name, "name");
             baseHash = Objects.requireNonNullElse(baseHash, "");
@@ -223,14 +232,14 @@
     }
 
     /**
-     * A document as the sender holds it.
+     * The sender's version of a document.
      *
-     * @param name which
-     * @param version its version; -1 if the sender has none
-     * @param content its bytes, as they are packed
-     * @param packing how it is packed
-     * @param hash the hash of the document; empty if it is not told
-     * @param baseHash the hash of the version that it was packed against; empty for none
+     * @param name the name of the document
+     * @param version the version of the document; -1 if the sender has none
+     * @param content the encoded bytes of the document
+     * @param packing the encoding
+     * @param hash the hash of the decoded document; empty if the sender does not state it
+     * @param baseHash the hash of the version that the document was encoded against; empty for none
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -242,8 +251,11 @@
             String hash,
             String baseHash)
             implements RoutingMessage {
-        /** Refuses a message that lacks its name or content; earlier releases send no more, and plain documents. */
-        @SuppressWarnings("NullAway") // a decoder leaves out what a message lacks
+        /**
+         * Rejects a message that lacks the name or the content; earlier releases send nothing else, and only plain
+         * documents.
+         */
+        @SuppressWarnings("NullAway") // the decoder passes null for components that a message lacks
         public Document {
             Objects.requireNonNull(name, "name");
             Objects.requireNonNull(content, "content");
@@ -253,18 +265,18 @@
         }
 
         /**
-         * Returns a message with a packed document.
+         * Creates a message from an encoded document.
          *
-         * @param name which
-         * @param version its version
-         * @param document the document
+         * @param name the name of the document
+         * @param version the version of the document
+         * @param document the encoded document
          */
         public static Document of(String name, long version, PackedDocument document) {
             return new Document(
                     name, version, document.content(), document.packing(), document.hash(), document.baseHash());
         }
 
-        /** Returns the document that it carries. */
+        /** Returns the encoded document of this message. */
         public PackedDocument packed() {
             return new PackedDocument(packing, content, hash, baseHash);
         }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/WorkScope.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/WorkScope.java
@@ -1,19 +1,19 @@
 package org.radishpass.peer.message;
 
 /**
- * Whose work in flight a message speaks of. The order is part of the protocol.
+ * The routers whose work in flight a message describes. The order of the constants is part of the protocol.
  *
  * @since 0.3.0
  */
 public enum WorkScope {
-    /** The sender's own, told to the router that gathers it. */
+    /** The sender's own work, sent to the leader of the sender's group, which aggregates it. */
     MEMBER,
-    /** That of the sender's group, told to the routers that gather other groups. */
+    /** The work of the sender's whole group, sent to the leaders of the other groups. */
     GROUP,
-    /** That of all routers but the receiver, told by the router that gathers the receiver's. */
+    /** The work of all routers but the receiver, sent by the leader of the receiver's group. */
     OTHERS;
 
-    /** Tells whether a sender of such a message leads a group, and so reads what all need from the store. */
+    /** Tells whether the sender of such a message leads a group. Leaders read from the store what all routers need. */
     public boolean leads() {
         return this != MEMBER;
     }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/package-info.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The messages that routers send each other.
+ * The messages that routers exchange, and their encoding.
  *
  * @since 0.1.0
  */
--- a/radishpass-peer/src/test/java/org/radishpass/peer/message/PeerCodecTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/message/PeerCodecTest.java
@@ -17,7 +17,7 @@
 import org.radishpass.records.ConfigurationChange;
 import org.radishpass.records.StoredRecord;
 
-/** Checks that messages come back as they were sent, and that other bytes are refused. */
+/** Checks that messages survive a round trip, and that malformed bytes are rejected. */
 final class PeerCodecTest {
     static Stream<PeerMessage> messages() {
         StoredRecord stored = new StoredRecord(
@@ -46,14 +46,14 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void everyMessageComesBackAsItWasSent(PeerMessage message) throws IOException {
+    void everyMessageSurvivesARoundTrip(PeerMessage message) throws IOException {
         Envelope envelope = new Envelope(-42, message);
 
         assertThat(PeerCodec.decode(PeerCodec.encode(envelope))).isEqualTo(envelope);
     }
 
     @Property(tries = 2_000, seed = "52")
-    void anyOtherBytesAreRefusedAsMalformed(@ForAll byte[] bytes) {
+    void arbitraryBytesFailOnlyWithAnIoException(@ForAll byte[] bytes) {
         try {
             assertThat(PeerCodec.decode(bytes).message()).isNotNull();
         } catch (IOException expected) {
--- a/radishpass-peer/src/test/java/org/radishpass/peer/message/RoutingMessageTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/message/RoutingMessageTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.msgpack.jackson.dataformat.MessagePackMapper;
 
-/** Checks the messages of routed requests: they come back as sent, and damaged ones are refused or whole. */
+/**
+ * Checks that routing messages survive a round trip, and that a damaged message is rejected or has all its components.
+ */
 final class RoutingMessageTest {
     private static final RoutingMessage.RouterEntry ROUTER =
             new RoutingMessage.RouterEntry("10.0.0.1:7340", "here", 0.75);
@@ -44,7 +46,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void everyMessageComesBackAsItWasSent(RoutingMessage message) throws IOException {
+    void everyMessageSurvivesARoundTrip(RoutingMessage message) throws IOException {
         Envelope envelope = new Envelope(1, message);
         assertThat(PeerCodec.decode(PeerCodec.encode(envelope))).isEqualTo(envelope);
     }
@@ -62,16 +64,19 @@
                 "[0,[\"dw\",[null]]]",
                 "[0,[\"do\",[\"configuration\",1,null]]]"
             })
-    void aMessageThatLacksAComponentIsRefused(String json) throws IOException {
+    void aMessageWithAMissingOrInvalidComponentIsRejected(String json) throws IOException {
         Object tree = new com.fasterxml.jackson.databind.ObjectMapper().readValue(json, Object.class);
         byte[] bytes = new MessagePackMapper().writeValueAsBytes(tree);
         assertThrows(IOException.class, () -> PeerCodec.decode(bytes));
     }
 
-    /** A rolling update mixes releases: those before tell no eras, later ones may tell more than this one knows. */
+    /**
+     * A rolling update mixes releases: earlier ones send no eras, and later ones may send components that this one does
+     * not know.
+     */
     @ParameterizedTest
     @CsvSource({"'', 0", "',31,37', 31", "',31,37,\"more\"', 31"})
-    void statesOfReleasesBeforeAndAfterAreRead(String end, long directoryEra) throws IOException {
+    void routingStatesOfEarlierAndLaterReleasesAreDecoded(String end, long directoryEra) throws IOException {
         String json = "[0,[\"rs\",[1,2,[],3,4,true,[],1,5,[[\"there\",19,true,23]],[]" + end + "]]]";
         Object tree = new com.fasterxml.jackson.databind.ObjectMapper().readValue(json, Object.class);
         byte[] bytes = new MessagePackMapper().writeValueAsBytes(tree);
@@ -82,7 +87,7 @@
     }
 
     @Property(tries = 3_000, seed = "53")
-    void damagedFramesAreRefusedOrWhole(@ForAll long seed) throws IOException {
+    void aDamagedFrameIsRejectedOrDecodedWithoutNulls(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         byte[] bytes = PeerCodec.encode(new Envelope(0, STATE));
         for (int change = random.nextInt(4); change >= 0; change--) {
