--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerChannel.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerChannel.java
@@ -28,66 +28,66 @@
 import reactor.netty.Connection;
 
 /**
- * One connection to a peer, in either direction.
+ * A connection to a peer, either dialled or accepted.
  *
- * <p>Bytes that are not a message cost this connection alone.
+ * <p>Malformed bytes close this connection only.
  *
  * @since 0.1.0
  */
 final class PeerChannel {
     private static final Logger LOG = LoggerFactory.getLogger(PeerChannel.class);
-    private static final int MAX_FRAME = 8 * 1024 * 1024;
+    private static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
     private static final int LENGTH_BYTES = 4;
     private static final String UNKNOWN_PEER = "";
 
-    /** Milliseconds after a deadline until the connections have been looked at once more. */
-    private static final long LAST_LOOK_MILLIS = 5;
+    /** The time after a deadline until the progress of a transfer is checked once more. */
+    private static final long RECHECK_DELAY_MILLIS = 5;
 
     private final Channel channel;
     private final PeerHandler handler;
     private final TrafficMeter meter;
-    private final Consumer<PeerChannel> whenClosed;
+    private final Consumer<PeerChannel> onClosed;
     private final AtomicLong lastId = new AtomicLong();
-    private final ConcurrentHashMap<Long, Sinks.One<PeerMessage>> waiting = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<Long, Sinks.One<PeerMessage>> pendingResponses = new ConcurrentHashMap<>();
     private final Set<TransferProgress> transfers = ConcurrentHashMap.newKeySet();
     private volatile String peerId;
 
     private PeerChannel(
-            Channel channel, String peerId, PeerHandler handler, TrafficMeter meter, Consumer<PeerChannel> whenClosed) {
+            Channel channel, String peerId, PeerHandler handler, TrafficMeter meter, Consumer<PeerChannel> onClosed) {
         this.channel = channel;
         this.peerId = peerId;
         this.handler = handler;
         this.meter = meter;
-        this.whenClosed = whenClosed;
+        this.onClosed = onClosed;
     }
 
     /**
-     * Puts the framing onto a connection and starts reading.
+     * Installs the framing on a connection and starts to read messages.
      *
      * @param connection the connection
-     * @param peerId the peer, or null if it has yet to say
-     * @param handler takes what it sends
-     * @param meter counts the bytes
-     * @param whenClosed called when it has ended
+     * @param peerId the id of the peer, or null if the peer has yet to introduce itself
+     * @param handler handles the messages of the peer
+     * @param meter counts the bytes sent and received
+     * @param onClosed called when the connection has closed
      */
-    static PeerChannel on(
+    static PeerChannel attach(
             Connection connection,
             @Nullable String peerId,
             PeerHandler handler,
             TrafficMeter meter,
-            Consumer<PeerChannel> whenClosed) {
-        PeerChannel peer = new PeerChannel(
-                connection.channel(), peerId == null ? UNKNOWN_PEER : peerId, handler, meter, whenClosed);
-        connection.addHandlerLast("progress", peer.new Progress());
+            Consumer<PeerChannel> onClosed) {
+        PeerChannel peer =
+                new PeerChannel(connection.channel(), peerId == null ? UNKNOWN_PEER : peerId, handler, meter, onClosed);
+        connection.addHandlerLast("progress", peer.new ByteCountingHandler());
         connection.addHandlerLast(
-                "frames-in", new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                "frames-in", new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         connection.addHandlerLast("frames-out", new LengthFieldPrepender(LENGTH_BYTES));
         connection.inbound().receive().asByteArray().subscribe(peer::received, error -> peer.close(), peer::close);
         connection.onDispose(peer::closed);
         return peer;
     }
 
-    /** Returns the peer; empty if it has not said yet. */
+    /** Returns the id of the peer; empty if the peer has not introduced itself yet. */
     String peerId() {
         return peerId;
     }
@@ -100,57 +100,61 @@
         write(new Envelope(0, message));
     }
 
-    Mono<PeerMessage> request(PeerMessage message, Duration patience) {
+    Mono<PeerMessage> request(PeerMessage message, Duration timeout) {
         long id = lastId.incrementAndGet();
-        return ask(id, message).timeout(patience).doFinally(signal -> waiting.remove(id));
+        return sendRequest(id, message).timeout(timeout).doFinally(signal -> pendingResponses.remove(id));
     }
 
-    /** Waits for an answer as long as bytes come; a connection that has stopped in the middle of a message is closed. */
+    /**
+     * Sends a request and waits for the response as long as bytes arrive. A connection that stalls within a message is
+     * closed.
+     */
     Mono<PeerMessage> fetch(PeerMessage message) {
         TransferProgress progress = new TransferProgress(nowMillis());
         transfers.add(progress);
         long id = lastId.incrementAndGet();
-        Mono<PeerMessage> answer = ask(id, message);
-        channel.eventLoop().execute(() -> watch(id, progress, false));
-        return answer.doFinally(signal -> {
-            waiting.remove(id);
+        Mono<PeerMessage> response = sendRequest(id, message);
+        channel.eventLoop().execute(() -> failIfStalled(id, progress, false));
+        return response.doFinally(signal -> {
+            pendingResponses.remove(id);
             transfers.remove(progress);
         });
     }
 
-    private Mono<PeerMessage> ask(long id, PeerMessage message) {
-        Sinks.One<PeerMessage> answer = Sinks.one();
-        waiting.put(id, answer);
+    private Mono<PeerMessage> sendRequest(long id, PeerMessage message) {
+        Sinks.One<PeerMessage> response = Sinks.one();
+        pendingResponses.put(id, response);
         write(new Envelope(id, message));
         if (!channel.isActive()) {
-            answer.tryEmitError(new IOException("the connection has ended"));
+            response.tryEmitError(new IOException("the connection has closed"));
         }
-        return answer.asMono();
+        return response.asMono();
     }
 
     /**
-     * Gives a transfer up when it stands still, after a last look at what has come meanwhile: this thread may not have had the processor for
-     * a while.
+     * Fails a transfer that has stalled. An expired deadline is checked a second time after a short delay, because the
+     * event loop may not have had the processor for a while and received bytes may still wait to be read.
      */
-    private void watch(long id, TransferProgress progress, boolean lastLook) {
-        Sinks.One<PeerMessage> answer = waiting.get(id);
-        if (answer == null) {
+    private void failIfStalled(long id, TransferProgress progress, boolean recheck) {
+        Sinks.One<PeerMessage> response = pendingResponses.get(id);
+        if (response == null) {
             return;
         }
-        long leftMillis = progress.deadlineMillis() - nowMillis();
-        if (leftMillis >= 0 || !lastLook) {
-            long pauseMillis = Math.max(0, leftMillis) + LAST_LOOK_MILLIS;
+        long remainingMillis = progress.deadlineMillis() - nowMillis();
+        if (remainingMillis >= 0 || !recheck) {
+            long delayMillis = Math.max(0, remainingMillis) + RECHECK_DELAY_MILLIS;
             var unused = channel.eventLoop()
-                    .schedule(() -> watch(id, progress, leftMillis < 0), pauseMillis, TimeUnit.MILLISECONDS);
+                    .schedule(
+                            () -> failIfStalled(id, progress, remainingMillis < 0), delayMillis, TimeUnit.MILLISECONDS);
             return;
         }
-        answer.tryEmitError(new IOException("given up after " + progress.bytes() + " bytes"));
+        response.tryEmitError(new IOException("the transfer stalled after " + progress.bytes() + " bytes"));
         if (progress.bytes() > 0) {
             close();
         }
     }
 
-    private void noteBytes(int count) {
+    private void recordBytes(int count) {
         long nowMillis = nowMillis();
         transfers.forEach(progress -> progress.received(count, nowMillis));
     }
@@ -164,9 +168,9 @@
     }
 
     private void closed() {
-        IOException gone = new IOException("the connection has ended");
-        waiting.values().forEach(answer -> answer.tryEmitError(gone));
-        whenClosed.accept(this);
+        IOException connectionClosed = new IOException("the connection has closed");
+        pendingResponses.values().forEach(response -> response.tryEmitError(connectionClosed));
+        onClosed.accept(this);
     }
 
     private void write(Envelope envelope) {
@@ -176,7 +180,9 @@
             var unused = channel.writeAndFlush(Unpooled.wrappedBuffer(bytes), channel.voidPromise());
         } catch (IOException e) {
             LOG.error(
-                    "a message of kind {} cannot be written", envelope.message().kind(), e);
+                    "cannot encode a message of kind {}, which is dropped",
+                    envelope.message().kind(),
+                    e);
         }
     }
 
@@ -186,7 +192,7 @@
             envelope = PeerCodec.decode(bytes);
         } catch (IOException e) {
             LOG.warn(
-                    "bytes from {} are not a message ({}); the connection is closed: {}",
+                    "malformed message from {} ({}); closing the connection; the first bytes are {}",
                     channel.remoteAddress(),
                     e.getMessage(),
                     ByteBufUtil.hexDump(bytes, 0, Math.min(bytes.length, 32)));
@@ -199,32 +205,32 @@
 
     private void accept(Envelope envelope) {
         if (envelope.answer()) {
-            Sinks.One<PeerMessage> answer = waiting.remove(-envelope.id());
-            if (answer != null) {
-                answer.tryEmitValue(envelope.message());
+            Sinks.One<PeerMessage> response = pendingResponses.remove(-envelope.id());
+            if (response != null) {
+                response.tryEmitValue(envelope.message());
             }
             return;
         }
-        envelope.message().speaker().ifPresent(speaker -> peerId = speaker);
+        envelope.message().senderId().ifPresent(senderId -> peerId = senderId);
         handler.handle(peerId, envelope.message())
                 .subscribe(
-                        answer -> {
+                        response -> {
                             if (envelope.request()) {
-                                write(new Envelope(-envelope.id(), answer));
+                                write(new Envelope(-envelope.id(), response));
                             }
                         },
                         error -> LOG.warn(
-                                "a message of kind {} failed",
+                                "handling a message of kind {} failed; a request gets no response",
                                 envelope.message().kind(),
                                 error));
     }
 
-    /** Counts bytes as they come, before they are whole messages. */
-    private final class Progress extends ChannelInboundHandlerAdapter {
+    /** Reports received bytes to the transfers in progress, before the frames are complete. */
+    private final class ByteCountingHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof ByteBuf bytes) {
-                noteBytes(bytes.readableBytes());
+                recordBytes(bytes.readableBytes());
             }
             context.fireChannelRead(message);
         }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerHandler.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerHandler.java
@@ -4,30 +4,31 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes what peers send.
+ * Handles the messages and connection events of peers.
  *
  * @since 0.1.0
  */
 public interface PeerHandler {
     /**
-     * Takes a message. What it returns is sent back if the peer waits for an answer.
+     * Handles a message and returns the response, which is sent only if the message is a request.
      *
-     * @param from the peer
+     * @param from the id of the peer; empty if the peer has not introduced itself yet
      * @param message the message
      */
     Mono<PeerMessage> handle(String from, PeerMessage message);
 
     /**
-     * Learns that a peer has ended: it has closed a connection that this node dialled, or the last one between the two.
+     * Called when a peer has ended: the peer has closed the connection that this node dialled, or the last connection
+     * between the two.
      *
-     * @param from the peer
+     * @param from the id of the peer
      */
     void disconnected(String from);
 
     /**
-     * Learns that no connection to a peer could be made.
+     * Called when connecting to a peer has failed.
      *
-     * @param peer the peer
+     * @param peer the id of the peer
      * @since 0.3.0
      */
     default void unreachable(String peer) {}
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerNode.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerNode.java
@@ -19,13 +19,14 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * A router's end of the links to its peers: it listens, and dials each peer when there is something to send.
+ * The TCP server and client of a router for messages to and from its peers. The node accepts connections, and dials a
+ * peer when there is a message to send.
  *
  * @since 0.1.0
  */
 public final class PeerNode implements PeerLinks, AutoCloseable {
-    private static final Duration DIAL_PATIENCE = Duration.ofMillis(500);
-    private static final Duration DIAL_AGAIN = Duration.ofMillis(500);
+    private static final Duration DIAL_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration REDIAL_DELAY = Duration.ofMillis(500);
 
     private final Set<PeerChannel> accepted = ConcurrentHashMap.newKeySet();
     private final LoopResources loops;
@@ -36,13 +37,13 @@
     private volatile DisposableServer server;
 
     /**
-     * Creates a node and listens.
+     * Creates a node and starts to listen.
      *
-     * @param listen where to listen; the port 0 cannot be given here, see the address's rules
+     * @param listen the address to listen on; not an {@link Address}, which does not allow the port 0
      * @param loops the event loops
-     * @param handler takes what peers send
-     * @param meter counts the bytes
-     * @param hello gives the first message on each connection
+     * @param handler handles the messages that peers send
+     * @param meter counts the bytes sent and received
+     * @param hello supplies the first message on each dialled connection
      */
     public PeerNode(
             java.net.InetSocketAddress listen,
@@ -61,7 +62,7 @@
                 .bindNow();
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port on which this node listens. */
     public int port() {
         return server.port();
     }
@@ -69,7 +70,7 @@
     @Override
     public void send(Vm peer, PeerMessage message) {
         link(peer).channel().subscribe(channel -> channel.send(message), error -> {
-            // the caller of a message without an answer does not wait to hear of its loss
+            // a message without a response may be lost, and its caller does not wait for the outcome
         });
     }
 
@@ -79,17 +80,17 @@
     }
 
     /**
-     * Sends a message and waits for its answer; it ends in an error when none comes in time.
+     * Sends a request and returns the response of the peer. The result fails if no response arrives in time.
      *
      * @param peer the peer
-     * @param message the message
-     * @param patience how long to wait
+     * @param message the request
+     * @param timeout how long to wait for the response
      */
-    public Mono<PeerMessage> request(Vm peer, PeerMessage message, Duration patience) {
+    public Mono<PeerMessage> request(Vm peer, PeerMessage message, Duration timeout) {
         return link(peer)
                 .channel()
-                .flatMap(channel -> channel.request(message, patience))
-                .timeout(patience);
+                .flatMap(channel -> channel.request(message, timeout))
+                .timeout(timeout);
     }
 
     @Override
@@ -103,7 +104,7 @@
     /**
      * Closes the links to peers that are no longer listed.
      *
-     * @param keep tells of a peer's identity whether it is listed
+     * @param keep tells whether the peer with a given id is listed
      */
     public void retain(java.util.function.Predicate<String> keep) {
         links.entrySet().removeIf(entry -> {
@@ -123,21 +124,22 @@
     }
 
     private void accept(Connection connection) {
-        accepted.add(PeerChannel.on(connection, null, handler, meter, this::acceptedEnded));
+        accepted.add(PeerChannel.attach(connection, null, handler, meter, this::acceptedChannelClosed));
     }
 
     /**
-     * A peer has closed one of its connections to this node. It is still there if another one is open: a peer that dials anew
-     * closes the old connection. Were that taken for its end, the two would close each other's connections in turn.
+     * Handles the end of an accepted connection. The peer counts as disconnected only if no other connection to it is
+     * open, because a peer that redials closes its old connection. Treating that as the end of the peer would make both
+     * nodes close each other's connections in turn.
      */
-    private void acceptedEnded(PeerChannel ended) {
+    private void acceptedChannelClosed(PeerChannel ended) {
         accepted.remove(ended);
         String peerId = ended.peerId();
         Link link = links.get(peerId);
         boolean dialled = link != null && link.open();
-        boolean other = accepted.stream()
+        boolean otherAccepted = accepted.stream()
                 .anyMatch(channel -> channel.open() && channel.peerId().equals(peerId));
-        if (!peerId.isEmpty() && !dialled && !other) {
+        if (!peerId.isEmpty() && !dialled && !otherAccepted) {
             handler.disconnected(peerId);
         }
     }
@@ -158,13 +160,13 @@
         });
     }
 
-    /** The dialled connection to one peer, made when needed and again when lost. */
+    /** The dialled connection to one peer. It is opened on demand, and again after a loss. */
     private final class Link {
         private final String peerId;
         private final Address address;
-        private Mono<PeerChannel> current = Mono.empty();
-        private volatile @Nullable PeerChannel opened;
-        private boolean dialled;
+        private Mono<PeerChannel> cachedDial = Mono.empty();
+        private volatile @Nullable PeerChannel openedChannel;
+        private boolean everDialled;
         private long nextDialNanos;
 
         private Link(String peerId, Address address) {
@@ -174,12 +176,12 @@
 
         private synchronized Mono<PeerChannel> channel() {
             long now = System.nanoTime();
-            if (!dialled || now - nextDialNanos >= 0) {
-                dialled = true;
+            if (!everDialled || now - nextDialNanos >= 0) {
+                everDialled = true;
                 nextDialNanos = Long.MAX_VALUE / 2 + now;
-                current = dial().cache();
+                cachedDial = dial().cache();
             }
-            return current;
+            return cachedDial;
         }
 
         private Mono<PeerChannel> dial() {
@@ -189,42 +191,47 @@
                     .host(address.host())
                     .port(address.port())
                     .connect()
-                    .timeout(DIAL_PATIENCE)
+                    .timeout(DIAL_TIMEOUT)
                     .map(this::connected)
                     .doOnError(error -> {
-                        lost();
+                        scheduleRedial();
                         handler.unreachable(peerId);
                     })
-                    .onErrorMap(error -> new IOException("no link to " + peerId + ": " + error.getMessage(), error));
+                    .onErrorMap(
+                            error -> new IOException("cannot connect to " + peerId + ": " + error.getMessage(), error));
         }
 
         private PeerChannel connected(Connection connection) {
-            PeerChannel channel = PeerChannel.on(connection, peerId, handler, meter, ended -> ended());
-            opened = channel;
+            PeerChannel channel =
+                    PeerChannel.attach(connection, peerId, handler, meter, ended -> dialledChannelClosed());
+            openedChannel = channel;
             channel.send(hello.get());
             return channel;
         }
 
-        /** Peers leave connections open that others dialled: one that ends and was not dropped here means that its peer has ended. */
-        private void ended() {
-            lost();
+        /**
+         * Handles the end of the dialled connection. Peers do not close connections that they accepted. If this node
+         * did not close the connection either, its peer has ended.
+         */
+        private void dialledChannelClosed() {
+            scheduleRedial();
             if (links.get(peerId) == this) {
                 handler.disconnected(peerId);
             }
         }
 
         private boolean open() {
-            PeerChannel channel = opened;
+            PeerChannel channel = openedChannel;
             return channel != null && channel.open();
         }
 
-        private synchronized void lost() {
-            nextDialNanos = System.nanoTime() + DIAL_AGAIN.toNanos();
+        private synchronized void scheduleRedial() {
+            nextDialNanos = System.nanoTime() + REDIAL_DELAY.toNanos();
         }
 
         private synchronized void close() {
-            current.subscribe(PeerChannel::close, error -> {
-                // nothing to close
+            cachedDial.subscribe(PeerChannel::close, error -> {
+                // the dial failed, so there is no channel to close
             });
         }
     }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/package-info.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Frames over TCP: a length and a MessagePack array.
+ * Transport of messages between routers over TCP. A frame is a length and an envelope in MessagePack.
  *
  * @since 0.1.0
  */
--- a/radishpass-peer/src/test/java/org/radishpass/peer/transport/PeerNodeTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/transport/PeerNodeTest.java
@@ -23,16 +23,16 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.resources.LoopResources;
 
-/** Checks the links between routers over loopback. */
+/** Checks the links between two nodes over the loopback interface. */
 final class PeerNodeTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final int LARGE_BYTES = 4_194_304;
 
     private final LoopResources loops = LoopResources.create("test", 2, true);
-    private final BlockingQueue<String> endedForOne = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> endedForTwo = new LinkedBlockingQueue<>();
-    private final PeerNode one = node("one", endedForOne);
-    private final PeerNode two = node("two", endedForTwo);
+    private final BlockingQueue<String> disconnectedFromOne = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnectedFromTwo = new LinkedBlockingQueue<>();
+    private final PeerNode one = node("one", disconnectedFromOne);
+    private final PeerNode two = node("two", disconnectedFromTwo);
 
     @AfterEach
     void close() {
@@ -42,19 +42,19 @@
     }
 
     @Test
-    void aRequestIsAnsweredByThePeerThatWasAsked() {
-        PeerMessage answer = one.request(vm("two", two), new PeerMessage.ChangesWanted(7), PATIENCE)
+    void aRequestReturnsTheResponseOfThePeer() {
+        PeerMessage response = one.request(vm("two", two), new PeerMessage.ChangesWanted(7), TIMEOUT)
                 .block();
 
-        assertThat(answer).isEqualTo(new PeerMessage.Head(7));
+        assertThat(response).isEqualTo(new PeerMessage.Head(7));
     }
 
     @Test
-    void aPeerThatIsGoneIsAnErrorAndNotASilence() {
+    void aRequestToAnUnreachablePeerFails() {
         Vm gone = new Vm("gone", new DataCentre("here"), new Address("127.0.0.1", 1), false);
 
-        Boolean failed = one.request(gone, new PeerMessage.ChangesWanted(7), PATIENCE)
-                .map(answer -> false)
+        Boolean failed = one.request(gone, new PeerMessage.ChangesWanted(7), TIMEOUT)
+                .map(response -> false)
                 .onErrorReturn(true)
                 .block();
 
@@ -62,11 +62,11 @@
     }
 
     @Test
-    void aPeerThatStopsClosesTheConnectionsThatItAccepted() throws java.io.IOException {
+    void closingANodeClosesItsAcceptedConnections() throws java.io.IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), two.port())) {
             socket.getOutputStream().write(new byte[] {0, 0});
             socket.getOutputStream().flush();
-            one.request(vm("two", two), new PeerMessage.ChangesWanted(1), PATIENCE)
+            one.request(vm("two", two), new PeerMessage.ChangesWanted(1), TIMEOUT)
                     .block();
 
             two.close();
@@ -76,22 +76,22 @@
     }
 
     @Test
-    void bytesThatAreNotAMessageCostTheirOwnConnectionAlone() throws java.io.IOException {
-        one.request(vm("two", two), new PeerMessage.ChangesWanted(1), PATIENCE).block();
+    void malformedBytesCloseOnlyTheirOwnConnection() throws java.io.IOException {
+        one.request(vm("two", two), new PeerMessage.ChangesWanted(1), TIMEOUT).block();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), two.port())) {
             socket.getOutputStream().write(new byte[] {0, 0, 0, 3, 'x', 'y', 'z'});
             socket.getOutputStream().flush();
             assertThat(socket.getInputStream().read()).isEqualTo(-1);
         }
 
-        PeerMessage answer = one.request(vm("two", two), new PeerMessage.ChangesWanted(2), PATIENCE)
+        PeerMessage response = one.request(vm("two", two), new PeerMessage.ChangesWanted(2), TIMEOUT)
                 .block();
 
-        assertThat(answer).isEqualTo(new PeerMessage.Head(2));
+        assertThat(response).isEqualTo(new PeerMessage.Head(2));
     }
 
     @Test
-    void aFrameOverTheLimitIsNotReadIntoMemory() throws java.io.IOException {
+    void aFrameOverTheLimitClosesTheConnection() throws java.io.IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), two.port())) {
             socket.getOutputStream().write(new byte[] {0x7f, 0, 0, 0, 1});
             socket.getOutputStream().flush();
@@ -100,50 +100,54 @@
     }
 
     /**
-     * Seen: two routers closed and dialled each other's connections in turn, each taking the end of one for the end of the other
-     * router, which was still connected by its own.
+     * Guards against two routers that close and redial their connections in turn: each took the end of one connection
+     * for the end of the other router, which was still connected by its own.
      */
     @Test
-    void aPeerThatDialsAnewHasNotEnded() throws InterruptedException {
-        askOneAnother();
+    void aPeerThatRedialsIsNotReportedAsDisconnected() throws InterruptedException {
+        exchangeRequests();
 
         one.drop("two");
-        one.request(vm("two", two), new PeerMessage.ChangesWanted(3), PATIENCE).block();
-        two.request(vm("one", one), new PeerMessage.ChangesWanted(3), PATIENCE).block();
-        assertThat(endedForOne).isEmpty();
-        assertThat(endedForTwo).isEmpty();
+        one.request(vm("two", two), new PeerMessage.ChangesWanted(3), TIMEOUT).block();
+        two.request(vm("one", one), new PeerMessage.ChangesWanted(3), TIMEOUT).block();
+        assertThat(disconnectedFromOne).isEmpty();
+        assertThat(disconnectedFromTwo).isEmpty();
 
         two.close();
-        assertThat(endedForOne.poll(PATIENCE.toSeconds(), TimeUnit.SECONDS)).isEqualTo("two");
+        assertThat(disconnectedFromOne.poll(TIMEOUT.toSeconds(), TimeUnit.SECONDS))
+                .isEqualTo("two");
     }
 
-    /** Seen: a document that came slowly was given up 0.8 s after it was asked for, and asked for again. */
+    /**
+     * Guards against a fixed timeout: a document on a slow link was abandoned 0.8 s after the request, and requested
+     * again.
+     */
     @Test
-    void aLargeAnswerIsFetchedWhole() {
+    void aLargeResponseIsFetchedCompletely() {
         Integer bytes = one.fetch(vm("two", two), new RoutingMessage.DocumentWanted("large", true, ""))
                 .ofType(RoutingMessage.Document.class)
                 .map(document -> document.content().length)
-                .block(PATIENCE);
+                .block(TIMEOUT);
 
         assertThat(bytes).isEqualTo(LARGE_BYTES);
     }
 
     @Test
-    void aPeerThatDoesNotAnswerIsGivenUp() {
+    void aFetchFromASilentPeerFails() {
         Boolean failed = one.fetch(vm("two", two), new RoutingMessage.DocumentWanted("silent", true, ""))
-                .map(answer -> false)
+                .map(response -> false)
                 .onErrorReturn(true)
-                .block(PATIENCE);
+                .block(TIMEOUT);
 
         assertThat(failed).isTrue();
     }
 
-    private void askOneAnother() {
-        one.request(vm("two", two), new PeerMessage.ChangesWanted(1), PATIENCE).block();
-        two.request(vm("one", one), new PeerMessage.ChangesWanted(1), PATIENCE).block();
+    private void exchangeRequests() {
+        one.request(vm("two", two), new PeerMessage.ChangesWanted(1), TIMEOUT).block();
+        two.request(vm("one", one), new PeerMessage.ChangesWanted(1), TIMEOUT).block();
     }
 
-    private PeerNode node(String id, BlockingQueue<String> endedPeers) {
+    private PeerNode node(String id, BlockingQueue<String> disconnectedPeers) {
         PeerHandler handler = new PeerHandler() {
             @Override
             public Mono<PeerMessage> handle(String from, PeerMessage message) {
@@ -157,7 +161,7 @@
 
             @Override
             public void disconnected(String from) {
-                endedPeers.add(from);
+                disconnectedPeers.add(from);
             }
         };
         return new PeerNode(
