--- a/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationStore.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationStore.java
@@ -23,22 +23,22 @@
  * @since 0.1.0
  */
 public final class ConfigurationStore {
-    /** The row that holds the fleet-wide revision. */
+    /** The key of the head row, which holds the fleet-wide revision. */
     public static final String HEAD = "config/head";
 
-    /** What the keys of records start with. */
-    public static final String RECORDS = "config/record/";
+    /** The prefix of the keys of records. */
+    public static final String RECORD_PREFIX = "config/record/";
 
-    /** What the keys of changes start with. */
-    public static final String CHANGES = "config/change/";
+    /** The prefix of the keys of changes. */
+    public static final String CHANGE_PREFIX = "config/change/";
 
-    private static final int PAGE = 500;
+    private static final int PAGE_ROWS = 500;
     private static final String REVISION = "revision";
 
     private final TableService tables;
 
     /**
-     * Creates a reader.
+     * Creates a reader of the configuration.
      *
      * @param tables the table service
      */
@@ -46,33 +46,36 @@
         this.tables = tables;
     }
 
-    /** Returns the revision that the store holds; it ends in an error when the store does not answer. */
+    /**
+     * Returns the revision in the store. The result fails with {@link StoreUnavailableException} if the store cannot be
+     * read.
+     */
     public Mono<Long> head() {
         TableTransaction read = TableTransaction.builder().read(HEAD).build();
         return tables.transact(read)
-                .flatMap(ConfigurationStore::committed)
+                .flatMap(ConfigurationStore::requireCommitted)
                 .map(rows -> revision(rows.rows().get(0)));
     }
 
     /**
-     * Returns the changes after a revision, in order, as many as one answer holds.
+     * Returns the changes after a revision in ascending order, up to the size of one page.
      *
-     * @param revision the revision
+     * @param revision the revision; its own change is not included
      */
     public Mono<List<ConfigurationChange>> changesAfter(long revision) {
         TableTransaction read = TableTransaction.builder()
-                .scan(CHANGES, changeKey(revision), PAGE)
+                .scan(CHANGE_PREFIX, changeKey(revision), PAGE_ROWS)
                 .build();
         return tables.transact(read)
-                .flatMap(ConfigurationStore::committed)
+                .flatMap(ConfigurationStore::requireCommitted)
                 .map(result -> changes(result.scans().get(0)));
     }
 
     /**
-     * Returns the changes before a revision, the newest first.
+     * Returns the latest changes, the newest first.
      *
      * @param head the newest revision
-     * @param count the most changes
+     * @param count the maximum number of changes
      */
     public Mono<List<ConfigurationChange>> newest(long head, int count) {
         return changesAfter(Math.max(0, head - count)).map(found -> {
@@ -82,34 +85,42 @@
         });
     }
 
-    /** Returns the whole configuration, all of it at one revision. */
+    /**
+     * Returns a consistent snapshot of the whole configuration. The read starts again if the revision changes between
+     * two pages.
+     */
     public Mono<Configuration> snapshot() {
         return page("", new ArrayList<>(), -1);
     }
 
-    private Mono<Configuration> page(String after, List<StoredRecord> found, long revisionSoFar) {
-        TableTransaction read =
-                TableTransaction.builder().read(HEAD).scan(RECORDS, after, PAGE).build();
-        return tables.transact(read).flatMap(ConfigurationStore::committed).flatMap(result -> {
-            long revision = revision(result.rows().get(0));
-            if (revisionSoFar >= 0 && revision != revisionSoFar) {
-                return page("", new ArrayList<>(), -1);
-            }
-            List<TableRow> rows = result.scans().get(0);
-            rows.forEach(row -> row.content().ifPresent(value -> found.add(convert(value, StoredRecord.class))));
-            if (rows.size() < PAGE) {
-                return Mono.just(Configuration.of(revision, found));
-            }
-            return page(rows.get(rows.size() - 1).key(), found, revision);
-        });
+    private Mono<Configuration> page(String after, List<StoredRecord> found, long expectedRevision) {
+        TableTransaction read = TableTransaction.builder()
+                .read(HEAD)
+                .scan(RECORD_PREFIX, after, PAGE_ROWS)
+                .build();
+        return tables.transact(read)
+                .flatMap(ConfigurationStore::requireCommitted)
+                .flatMap(result -> {
+                    long revision = revision(result.rows().get(0));
+                    if (expectedRevision >= 0 && revision != expectedRevision) {
+                        return page("", new ArrayList<>(), -1);
+                    }
+                    List<TableRow> rows = result.scans().get(0);
+                    rows.forEach(row ->
+                            row.content().ifPresent(value -> found.add(convert(value, StoredRecord.class))));
+                    if (rows.size() < PAGE_ROWS) {
+                        return Mono.just(Configuration.of(revision, found));
+                    }
+                    return page(rows.get(rows.size() - 1).key(), found, revision);
+                });
     }
 
     static String changeKey(long revision) {
-        return CHANGES + String.format(Locale.ROOT, "%012d", revision);
+        return CHANGE_PREFIX + String.format(Locale.ROOT, "%012d", revision);
     }
 
     static String recordKey(StoredRecord stored) {
-        return RECORDS + stored.key();
+        return RECORD_PREFIX + stored.key();
     }
 
     static ObjectNode headValue(long revision) {
@@ -120,7 +131,7 @@
         return head.content().map(value -> value.path(REVISION).asLong()).orElse(0L);
     }
 
-    static Mono<TableResult.Committed> committed(TableResult result) {
+    static Mono<TableResult.Committed> requireCommitted(TableResult result) {
         if (result instanceof TableResult.Committed committed) {
             return Mono.just(committed);
         }
--- a/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationWriter.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationWriter.java
@@ -22,17 +22,18 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Writes records: all of a write in one transaction with the fleet-wide revision, or nothing.
+ * Writes configuration records to the table service. A write is one transaction that changes all its records and the
+ * fleet-wide revision, or nothing.
  *
- * <p>A write carries a token of its own. When no answer comes, the changes are read back and the token tells whether
- * the write took effect.
+ * <p>Each write has a unique token. If the table service does not respond, the changes are read back, and the token
+ * shows whether the write took effect.
  *
  * @since 0.1.0
  */
 public final class ConfigurationWriter {
-    private static final int READ_BACKS = 5;
-    private static final int RACES = 20;
-    private static final Duration READ_BACK_PAUSE = Duration.ofMillis(300);
+    private static final int MAX_READ_BACKS = 5;
+    private static final int MAX_CONFLICT_RETRIES = 20;
+    private static final Duration READ_BACK_DELAY = Duration.ofMillis(300);
 
     private final TableService tables;
     private final ConfigurationStore store;
@@ -43,8 +44,8 @@
      * Creates a writer.
      *
      * @param tables the table service
-     * @param clock tells the time that changes are dated with
-     * @param tokens gives a token that no other write has
+     * @param clock the clock for the timestamps of changes
+     * @param tokens supplies a unique token for each write
      */
     public ConfigurationWriter(TableService tables, Clock clock, Supplier<String> tokens) {
         this.tables = tables;
@@ -54,39 +55,39 @@
     }
 
     /**
-     * Applies records.
+     * Creates or updates records.
      *
      * @param documents the records
-     * @param author who writes
-     * @param expected the revision that the operator saw; if empty, whatever is current
+     * @param author the author of the write
+     * @param expected the revision that the operator saw; if empty, any revision
      */
     public Mono<WriteResult> apply(List<RecordDocument> documents, String author, OptionalLong expected) {
-        return write(new Edit(documents, List.of(), author, expected, tokens.get()), RACES);
+        return write(new Edit(documents, List.of(), author, expected, tokens.get()), MAX_CONFLICT_RETRIES);
     }
 
     /**
-     * Deletes records.
+     * Deletes records. A deleted record is kept as a tombstone.
      *
-     * @param keys the records
-     * @param author who writes
-     * @param expected the revision that the operator saw; if empty, whatever is current
+     * @param keys the keys of the records
+     * @param author the author of the write
+     * @param expected the revision that the operator saw; if empty, any revision
      */
     public Mono<WriteResult> delete(List<RecordKey> keys, String author, OptionalLong expected) {
-        return write(new Edit(List.of(), keys, author, expected, tokens.get()), RACES);
+        return write(new Edit(List.of(), keys, author, expected, tokens.get()), MAX_CONFLICT_RETRIES);
     }
 
-    private Mono<WriteResult> write(Edit edit, int racesLeft) {
+    private Mono<WriteResult> write(Edit edit, int conflictRetriesLeft) {
         TableTransaction.Builder read = TableTransaction.builder().read(ConfigurationStore.HEAD);
-        edit.keys().forEach(key -> read.read(ConfigurationStore.RECORDS + key));
+        edit.keys().forEach(key -> read.read(ConfigurationStore.RECORD_PREFIX + key));
         return tables.transact(read.build()).flatMap(result -> {
-            if (!(result instanceof TableResult.Committed seen)) {
+            if (!(result instanceof TableResult.Committed current)) {
                 return Mono.just(new WriteResult.Refused("the store cannot be read: " + result));
             }
-            return attempt(edit, seen.rows(), racesLeft);
+            return attempt(edit, current.rows(), conflictRetriesLeft);
         });
     }
 
-    private Mono<WriteResult> attempt(Edit edit, List<TableRow> rows, int racesLeft) {
+    private Mono<WriteResult> attempt(Edit edit, List<TableRow> rows, int conflictRetriesLeft) {
         TableRow head = rows.get(0);
         long revision = ConfigurationStore.revision(head);
         if (edit.expected().isPresent() && edit.expected().getAsLong() != revision) {
@@ -102,45 +103,47 @@
                 return Mono.just(new WriteResult.Accepted(newRevision, changes));
             }
             if (result instanceof TableResult.Conflict) {
-                return racesLeft > 0 ? write(edit, racesLeft - 1) : lostRace(revision);
+                return conflictRetriesLeft > 0 ? write(edit, conflictRetriesLeft - 1) : retriesExhausted(revision);
             }
             if (result instanceof TableResult.Refused refused) {
                 return Mono.just(new WriteResult.Refused(refused.detail()));
             }
-            return readBack(edit, revision, changes, READ_BACKS);
+            return readBack(edit, revision, changes, MAX_READ_BACKS);
         });
     }
 
-    private static Mono<WriteResult> lostRace(long revision) {
+    private static Mono<WriteResult> retriesExhausted(long revision) {
         return Mono.just(new WriteResult.Conflict(revision, revision + 1));
     }
 
-    private Mono<WriteResult> readBack(Edit edit, long before, List<ConfigurationChange> changes, int triesLeft) {
+    private Mono<WriteResult> readBack(Edit edit, long before, List<ConfigurationChange> changes, int attemptsLeft) {
         return store.changesAfter(before)
                 .flatMap(found -> {
-                    boolean ours =
+                    boolean ownWrite =
                             found.stream().anyMatch(change -> change.token().equals(edit.token()));
-                    if (ours) {
+                    if (ownWrite) {
                         long revision = changes.get(changes.size() - 1).revision();
                         return Mono.<WriteResult>just(new WriteResult.Accepted(revision, changes));
                     }
                     if (!found.isEmpty()) {
-                        // The head has moved on without this write, so its check can never hold again.
-                        return write(edit, RACES);
+                        // Another write has changed the head row, so the version check of this write can no longer
+                        // succeed, even if the write arrives late.
+                        return write(edit, MAX_CONFLICT_RETRIES);
                     }
-                    return again(edit, before, changes, triesLeft, "no answer, and not seen yet");
+                    return retryReadBack(edit, before, changes, attemptsLeft, "no answer, and not seen yet");
                 })
                 .onErrorResume(
                         StoreUnavailableException.class,
-                        error -> again(edit, before, changes, triesLeft, String.valueOf(error.getMessage())));
+                        error ->
+                                retryReadBack(edit, before, changes, attemptsLeft, String.valueOf(error.getMessage())));
     }
 
-    private Mono<WriteResult> again(
-            Edit edit, long before, List<ConfigurationChange> changes, int triesLeft, String detail) {
-        if (triesLeft == 0) {
+    private Mono<WriteResult> retryReadBack(
+            Edit edit, long before, List<ConfigurationChange> changes, int attemptsLeft, String detail) {
+        if (attemptsLeft == 0) {
             return Mono.just(new WriteResult.Unknown(detail));
         }
-        return Mono.delay(READ_BACK_PAUSE).flatMap(tick -> readBack(edit, before, changes, triesLeft - 1));
+        return Mono.delay(READ_BACK_DELAY).flatMap(tick -> readBack(edit, before, changes, attemptsLeft - 1));
     }
 
     private List<ConfigurationChange> changes(Edit edit, List<TableRow> rows, long revision) {
@@ -152,8 +155,8 @@
                     .map(StoredRecord::spec)
                     .orElseGet(JsonNodeFactory.instance::objectNode);
             ObjectNode spec = SchemaConversion.rewrite(document.kind(), document.version(), document.spec(), old);
-            boolean same = before.isPresent() && !before.get().deleted() && spec.equals(old);
-            if (!same) {
+            boolean unchanged = before.isPresent() && !before.get().deleted() && spec.equals(old);
+            if (!unchanged) {
                 changes.add(change(edit, document.key(), false, spec, revision + changes.size() + 1));
             }
         }
@@ -190,6 +193,15 @@
                 .build();
     }
 
+    /**
+     * A requested write.
+     *
+     * @param documents the records to create or update
+     * @param deletions the keys of the records to delete
+     * @param author the author of the write
+     * @param expected the revision that the operator saw; if empty, any revision
+     * @param token the unique token of the write
+     */
     private record Edit(
             List<RecordDocument> documents,
             List<RecordKey> deletions,
--- a/radishpass-tables/src/main/java/org/radishpass/tables/configuration/StoreUnavailableException.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/configuration/StoreUnavailableException.java
@@ -1,7 +1,7 @@
 package org.radishpass.tables.configuration;
 
 /**
- * The table service gave no usable answer.
+ * Thrown when the table service gave no usable response.
  *
  * @since 0.1.0
  */
@@ -9,19 +9,19 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * Creates it.
+     * Creates an exception.
      *
-     * @param message what happened
+     * @param message the reason
      */
     public StoreUnavailableException(String message) {
         super(message);
     }
 
     /**
-     * Creates it.
+     * Creates an exception with a cause.
      *
-     * @param message what happened
-     * @param cause what brought it about
+     * @param message the reason
+     * @param cause the cause
      */
     public StoreUnavailableException(String message, Throwable cause) {
         super(message, cause);
--- a/radishpass-tables/src/main/java/org/radishpass/tables/configuration/WriteResult.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/configuration/WriteResult.java
@@ -4,41 +4,42 @@
 import org.radishpass.records.ConfigurationChange;
 
 /**
- * What became of an operator's write.
+ * The result of an operator's write.
  *
  * @since 0.1.0
  */
 public sealed interface WriteResult {
     /**
-     * It was accepted.
+     * The write was accepted.
      *
-     * @param revision the revision after it
-     * @param changes the changes that it made; none when all records were so already
+     * @param revision the revision after the write
+     * @param changes the changes that the write made; empty if all records had the written values already
      * @since 0.1.0
      */
     record Accepted(long revision, List<ConfigurationChange> changes) implements WriteResult {}
 
     /**
-     * Another write came first; nothing of this one was accepted.
+     * The write conflicted with another one; nothing was written.
      *
      * @param expected the revision that the operator saw
-     * @param actual the revision now
+     * @param actual the current revision
      * @since 0.1.0
      */
     record Conflict(long expected, long actual) implements WriteResult {}
 
     /**
-     * The store refused or could not be reached; nothing was accepted.
+     * The store refused the write or could not be reached; nothing was written.
      *
-     * @param detail why
+     * @param detail the reason
      * @since 0.1.0
      */
     record Refused(String detail) implements WriteResult {}
 
     /**
-     * No answer could be had, also not by reading back: it may have been accepted.
+     * The outcome is unknown: the store did not respond and reading back did not show the write. The write may have
+     * been accepted.
      *
-     * @param detail what happened
+     * @param detail the reason
      * @since 0.1.0
      */
     record Unknown(String detail) implements WriteResult {}
--- a/radishpass-tables/src/main/java/org/radishpass/tables/once/ClaimStore.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/once/ClaimStore.java
@@ -13,14 +13,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Claims non-idempotent requests in the table service, so that each runs at most once in the whole fleet.
+ * Stores claims of non-idempotent requests in the table service, so that each request runs at most once in the whole
+ * fleet.
  *
  * @since 0.1.0
  */
 public final class ClaimStore {
-    private static final String PREFIX = "claim/";
-    private static final int READ_BACKS = 3;
-    private static final Duration READ_BACK_PAUSE = Duration.ofMillis(100);
+    private static final String KEY_PREFIX = "claim/";
+    private static final int MAX_READ_BACKS = 3;
+    private static final Duration READ_BACK_DELAY = Duration.ofMillis(100);
 
     private final TableService tables;
 
@@ -34,15 +35,17 @@
     }
 
     /**
-     * Claims a request, or tells what became of an earlier claim.
+     * Claims a request and decides whether the request may run. If the request is claimed already, the decision follows
+     * from the stored claim. If the table service does not respond, the claim is read back to find out whether the
+     * write took effect.
      *
-     * @param key the request's key, unique in the fleet
-     * @param claim the claim, with a token of its own
+     * @param key the key of the request, unique in the fleet
+     * @param claim the claim, with a token that no other claim has
      */
     public Mono<ClaimDecision> claim(String key, Claim claim) {
         TableTransaction insert = TableTransaction.builder()
-                .check(PREFIX + key, 0)
-                .put(PREFIX + key, json(claim))
+                .check(KEY_PREFIX + key, 0)
+                .put(KEY_PREFIX + key, json(claim))
                 .build();
         return tables.transact(insert).flatMap(result -> {
             if (result instanceof TableResult.Committed) {
@@ -51,57 +54,59 @@
             if (result instanceof TableResult.Refused refused) {
                 return Mono.just(new ClaimDecision.Unavailable(refused.detail()));
             }
-            return readBack(key, claim, READ_BACKS);
+            return readBack(key, claim, MAX_READ_BACKS);
         });
     }
 
     /**
-     * Stores the answer of a claimed request. A failure is harmless: the claim stays and the request is not run again.
+     * Stores the response to a claimed request. A failure is not reported and does no harm: the claim remains, so the
+     * request does not run again.
      *
-     * @param key the request's key
-     * @param done the claim with the answer
+     * @param key the key of the request
+     * @param finished the claim with the response
      */
-    public Mono<Void> finish(String key, Claim done) {
+    public Mono<Void> finish(String key, Claim finished) {
         TableTransaction write =
-                TableTransaction.builder().put(PREFIX + key, json(done)).build();
+                TableTransaction.builder().put(KEY_PREFIX + key, json(finished)).build();
         return tables.transact(write).then();
     }
 
     /**
-     * Takes back a claim whose request provably did not run, so that it may be asked for again.
+     * Deletes the claim of a request that provably did not run, so that the request may be sent again.
      *
-     * @param key the request's key
-     * @param claim the claim
-     * @return whether the claim is gone
+     * @param key the key of the request
+     * @param claim the claim to delete; a claim with another token stays
+     * @return whether the claim was deleted; false also if the outcome is unknown
      */
     public Mono<Boolean> withdraw(String key, Claim claim) {
         return read(key).flatMap(row -> {
-            boolean ours = row.content()
+            boolean ownClaim = row.content()
                     .map(value -> parse(value).token().equals(claim.token()))
                     .orElse(false);
-            if (!ours) {
+            if (!ownClaim) {
                 return Mono.just(false);
             }
             TableTransaction delete = TableTransaction.builder()
-                    .check(PREFIX + key, row.version())
-                    .delete(PREFIX + key)
+                    .check(KEY_PREFIX + key, row.version())
+                    .delete(KEY_PREFIX + key)
                     .build();
             return tables.transact(delete).map(result -> result instanceof TableResult.Committed);
         });
     }
 
-    private Mono<ClaimDecision> readBack(String key, Claim claim, int triesLeft) {
+    private Mono<ClaimDecision> readBack(String key, Claim claim, int attemptsLeft) {
         return read(key)
                 .map(row -> row.content()
                         .map(value -> parse(value).decide(claim.token(), claim.requestHash()))
                         .orElseGet(() -> new ClaimDecision.Unavailable("the claim was not answered and is not there")))
-                .switchIfEmpty(Mono.defer(() -> triesLeft == 0
+                .switchIfEmpty(Mono.defer(() -> attemptsLeft == 0
                         ? Mono.just(new ClaimDecision.Unavailable("the claim was not answered"))
-                        : Mono.delay(READ_BACK_PAUSE).flatMap(tick -> readBack(key, claim, triesLeft - 1))));
+                        : Mono.delay(READ_BACK_DELAY).flatMap(tick -> readBack(key, claim, attemptsLeft - 1))));
     }
 
     private Mono<TableRow> read(String key) {
-        TableTransaction read = TableTransaction.builder().read(PREFIX + key).build();
+        TableTransaction read =
+                TableTransaction.builder().read(KEY_PREFIX + key).build();
         return tables.transact(read)
                 .flatMap(result -> result instanceof TableResult.Committed committed
                         ? Mono.just(committed.rows().get(0))
--- a/radishpass-tables/src/main/java/org/radishpass/tables/once/package-info.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/once/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Claims of non-idempotent requests kept in the table service.
+ * Claims that prevent a non-idempotent request from running twice, stored in the table service.
  *
  * @since 0.1.0
  */
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/HttpTableService.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/HttpTableService.java
@@ -14,7 +14,7 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Speaks to the table service by HTTP and JSON.
+ * Client of the table service over HTTP, with JSON bodies.
  *
  * @since 0.1.0
  */
@@ -22,24 +22,24 @@
     private static final String PATH = "/v1/tables/transact";
     private static final int OK = 200;
     private static final int CONFLICT = 409;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
     private final HttpClient client;
     private final String baseAddress;
-    private final Duration patience;
+    private final Duration timeout;
 
     /**
      * Creates a client.
      *
-     * @param client the HTTP client; it must not send anything again by itself
-     * @param baseAddress where the platform answers
-     * @param patience how long one transaction may take
+     * @param client the HTTP client; must not retry requests by itself
+     * @param baseAddress the base URL of the platform
+     * @param timeout the timeout of one transaction
      */
-    public HttpTableService(HttpClient client, String baseAddress, Duration patience) {
+    public HttpTableService(HttpClient client, String baseAddress, Duration timeout) {
         this.client = client.headers(headers -> headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json"));
         this.baseAddress = baseAddress;
-        this.patience = patience;
+        this.timeout = timeout;
     }
 
     @Override
@@ -50,7 +50,7 @@
                 .responseSingle((response, content) -> content.asByteArray()
                         .defaultIfEmpty(new byte[0])
                         .map(bytes -> result(response.status().code(), bytes)))
-                .timeout(patience)
+                .timeout(timeout)
                 .onErrorResume(HttpTableService::failure);
     }
 
@@ -71,7 +71,7 @@
             return switch (status) {
                 case OK -> committed(body);
                 case CONFLICT -> new TableResult.Conflict(body.path("key").asText());
-                case TOO_MANY, UNAVAILABLE ->
+                case TOO_MANY_REQUESTS, UNAVAILABLE ->
                     new TableResult.Refused(body.path("detail").asText("refused"));
                 default -> new TableResult.Unknown("status " + status);
             };
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/TableResult.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/TableResult.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What became of a transaction.
+ * The result of a transaction.
  *
  * @since 0.1.0
  */
 public sealed interface TableResult {
     /**
-     * It was carried out.
+     * The transaction was committed.
      *
-     * @param rows the rows read by key, in the order asked
-     * @param scans the rows of each range, in the order asked
+     * @param rows the rows read by key, in the order of the reads
+     * @param scans the rows of each scan, in the order of the scans
      * @since 0.1.0
      */
     record Committed(List<TableRow> rows, List<List<TableRow>> scans) implements TableResult {}
 
     /**
-     * A check failed; nothing was written.
+     * A version check failed; nothing was written.
      *
      * @param key the key whose check failed
      * @since 0.1.0
@@ -26,17 +26,17 @@
     record Conflict(String key) implements TableResult {}
 
     /**
-     * The service refused it; nothing was written.
+     * The service refused the transaction or could not be reached; nothing was written.
      *
-     * @param detail why
+     * @param detail the reason
      * @since 0.1.0
      */
     record Refused(String detail) implements TableResult {}
 
     /**
-     * No answer came; it may have been carried out, or may yet be.
+     * The outcome is unknown, for example after a timeout. The transaction may have been committed, or may still be.
      *
-     * @param detail what happened
+     * @param detail the reason
      * @since 0.1.0
      */
     record Unknown(String detail) implements TableResult {}
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/TableRow.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/TableRow.java
@@ -5,15 +5,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A row as a transaction saw it.
+ * A row of the table, as a transaction read it.
  *
- * @param key the key
- * @param version the version that checks compare; 0 where there is no row
- * @param value the content, or null where there is no row
+ * @param key the key of the row
+ * @param version the version that checks compare; 0 if the row does not exist
+ * @param value the content, or null if the row does not exist
  * @since 0.1.0
  */
 public record TableRow(String key, long version, @Nullable JsonNode value) {
-    /** Returns the content, if there is a row. */
+    /** Returns the content of the row; empty if the row does not exist. */
     public Optional<JsonNode> content() {
         return Optional.ofNullable(value);
     }
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/TableService.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/TableService.java
@@ -10,7 +10,8 @@
 @FunctionalInterface
 public interface TableService {
     /**
-     * Carries out a transaction. The result never ends in an error: what went wrong is in its type.
+     * Carries out a transaction. Refusals, timeouts and I/O errors do not fail the {@code Mono}: the type of the result
+     * describes them.
      *
      * @param transaction the transaction
      */
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/TableTransaction.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/TableTransaction.java
@@ -6,49 +6,49 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Checks, writes and reads that the table service carries out together or not at all.
+ * A transaction: version checks, writes and reads that the table service carries out atomically.
  *
- * @param checks the versions that must still hold
+ * @param checks the versions that rows must have
  * @param writes the rows to write or delete
- * @param reads the keys to read, after the writes
- * @param scans the ranges to read, after the writes
+ * @param reads the keys of the rows to read, after the writes
+ * @param scans the key ranges to read, after the writes
  * @since 0.1.0
  */
 public record TableTransaction(List<Check> checks, List<Write> writes, List<String> reads, List<Scan> scans) {
-    /** Starts a transaction. */
+    /** Returns a builder of an empty transaction. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Tells whether it writes anything. */
+    /** Tells whether the transaction writes or deletes rows. */
     public boolean writing() {
         return !writes.isEmpty();
     }
 
     /**
-     * A version that must still hold.
+     * A check that a row has an expected version.
      *
-     * @param key the key
-     * @param version the version; 0 where there must be no row
+     * @param key the key of the row
+     * @param version the expected version; 0 if the row must not exist
      * @since 0.1.0
      */
     public record Check(String key, long version) {}
 
     /**
-     * A row to write.
+     * A row to write or delete.
      *
-     * @param key the key
+     * @param key the key of the row
      * @param value the content, or null to delete the row
      * @since 0.1.0
      */
     public record Write(String key, @Nullable JsonNode value) {}
 
     /**
-     * A range to read, in the order of keys.
+     * A range of rows to read in the order of their keys.
      *
-     * @param prefix what the keys start with
-     * @param after the key after which to start; empty for the first
-     * @param limit the most rows
+     * @param prefix the prefix of the keys
+     * @param after the key after which the scan starts; empty to start with the first row
+     * @param limit the maximum number of rows
      * @since 0.1.0
      */
     public record Scan(String prefix, String after, int limit) {}
@@ -67,10 +67,10 @@
         private Builder() {}
 
         /**
-         * Requires a version.
+         * Adds a check that a row has an expected version.
          *
-         * @param key the key
-         * @param version the version; 0 where there must be no row
+         * @param key the key of the row
+         * @param version the expected version; 0 if the row must not exist
          */
         public Builder check(String key, long version) {
             checks.add(new Check(key, version));
@@ -78,9 +78,9 @@
         }
 
         /**
-         * Writes a row.
+         * Adds a row to write.
          *
-         * @param key the key
+         * @param key the key of the row
          * @param value the content
          */
         public Builder put(String key, JsonNode value) {
@@ -89,9 +89,9 @@
         }
 
         /**
-         * Deletes a row.
+         * Adds a row to delete.
          *
-         * @param key the key
+         * @param key the key of the row
          */
         public Builder delete(String key) {
             writes.add(new Write(key, null));
@@ -99,9 +99,9 @@
         }
 
         /**
-         * Reads a row.
+         * Adds a row to read.
          *
-         * @param key the key
+         * @param key the key of the row
          */
         public Builder read(String key) {
             reads.add(key);
@@ -109,18 +109,18 @@
         }
 
         /**
-         * Reads a range.
+         * Adds a range of rows to read.
          *
-         * @param prefix what the keys start with
-         * @param after the key after which to start; empty for the first
-         * @param limit the most rows
+         * @param prefix the prefix of the keys
+         * @param after the key after which the scan starts; empty to start with the first row
+         * @param limit the maximum number of rows
          */
         public Builder scan(String prefix, String after, int limit) {
             scans.add(new Scan(prefix, after, limit));
             return this;
         }
 
-        /** Returns the transaction. */
+        /** Builds the transaction. */
         public TableTransaction build() {
             return new TableTransaction(
                     List.copyOf(checks), List.copyOf(writes), List.copyOf(reads), List.copyOf(scans));
--- a/radishpass-tables/src/main/java/org/radishpass/tables/table/package-info.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/table/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Transactions on the platform's table service.
+ * Client for the platform's transactional table service.
  *
  * @since 0.1.0
  */
--- a/radishpass-tables/src/main/java/org/radishpass/tables/vmlist/VmListClient.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/vmlist/VmListClient.java
@@ -16,7 +16,7 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Asks the platform for its list of machines.
+ * Reads the list of VMs from the platform.
  *
  * @since 0.1.0
  */
@@ -26,30 +26,31 @@
 
     private final HttpClient client;
     private final String address;
-    private final Duration patience;
-    private volatile Known known = new Known("", List.of());
+    private final Duration timeout;
+    private volatile CachedList cached = new CachedList("", List.of());
 
     /**
      * Creates a client.
      *
      * @param client the HTTP client
-     * @param baseAddress where the platform answers
-     * @param observer the data centre that asks
-     * @param patience how long one question may take
+     * @param baseAddress the base URL of the platform
+     * @param observer the data centre from which the list is requested
+     * @param timeout the timeout of one request
      */
-    public VmListClient(HttpClient client, String baseAddress, DataCentre observer, Duration patience) {
+    public VmListClient(HttpClient client, String baseAddress, DataCentre observer, Duration timeout) {
         this.client = client;
         this.address = baseAddress + "/v1/vms?observer=" + observer.name();
-        this.patience = patience;
+        this.timeout = timeout;
     }
 
     /**
-     * Returns the list; it ends in an error when the platform does not answer.
+     * Returns the list of VMs. The result fails if the platform does not respond in time or responds with an error.
      *
-     * <p>The platform is told which list is known already, and sends it again only if it has changed.
+     * <p>The request carries the ETag of the last list. If the list is unchanged, the platform does not send it again
+     * and the cached list is returned.
      */
     public Mono<List<VmListing>> list() {
-        Known last = known;
+        CachedList last = cached;
         return client.headers(headers -> headers.set(HttpHeaderNames.IF_NONE_MATCH, last.tag()))
                 .get()
                 .uri(address)
@@ -58,15 +59,15 @@
                         return Mono.just(last.listings());
                     }
                     if (response.status().code() != OK) {
-                        return Mono.error(new IOException(
-                                "the VM list answered " + response.status().code()));
+                        return Mono.error(new IOException("the VM list request failed with status "
+                                + response.status().code()));
                     }
                     String tag = response.responseHeaders().get(HttpHeaderNames.ETAG, "");
                     return content.asByteArray()
                             .map(VmListClient::parse)
-                            .doOnNext(found -> known = new Known(tag, found));
+                            .doOnNext(found -> cached = new CachedList(tag, found));
                 })
-                .timeout(patience);
+                .timeout(timeout);
     }
 
     private static List<VmListing> parse(byte[] bytes) {
@@ -91,5 +92,11 @@
                 vm.path("leaving").asBoolean());
     }
 
-    private record Known(String tag, List<VmListing> listings) {}
+    /**
+     * The last list that the platform sent.
+     *
+     * @param tag the ETag of the list; empty for none
+     * @param listings the VMs
+     */
+    private record CachedList(String tag, List<VmListing> listings) {}
 }
--- a/radishpass-tables/src/main/java/org/radishpass/tables/vmlist/package-info.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/vmlist/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's lagging list of machines.
+ * Client for the platform's list of VMs, which lags behind the actual state of the VMs.
  *
  * @since 0.1.0
  */
--- a/radishpass-tables/src/test/java/org/radishpass/tables/configuration/ConfigurationWriterTest.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/configuration/ConfigurationWriterTest.java
@@ -18,7 +18,7 @@
 import org.radishpass.tables.testing.FakeTables;
 import org.radishpass.tables.testing.FakeTables.Fault;
 
-/** Checks what becomes of operators' writes when the store fails and others write. */
+/** Checks the results of operators' writes, also when the store fails or other writes conflict. */
 final class ConfigurationWriterTest {
     private final FakeTables tables = new FakeTables();
     private final AtomicInteger tokens = new AtomicInteger();
@@ -26,13 +26,13 @@
             tables, Clock.fixed(Instant.EPOCH, ZoneOffset.UTC), () -> "token-" + tokens.incrementAndGet());
 
     @Test
-    void aWriteMovesTheRevisionByTheRecordsThatItChanges() {
+    void aWriteRaisesTheRevisionByTheNumberOfChangedRecords() {
         assertAccepted(apply(OptionalLong.empty(), model("a", "1"), model("b", "1")), 2);
         assertAccepted(apply(OptionalLong.empty(), model("a", "1"), model("b", "2")), 3);
     }
 
     @Test
-    void aWriteThatChangesNothingIsAcceptedWithoutAWrite() {
+    void anUnchangedRecordIsAcceptedWithoutAStoreWrite() {
         apply(OptionalLong.empty(), model("a", "1"));
 
         assertAccepted(apply(OptionalLong.empty(), model("a", "1")), 1);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anOperatorWhoSawAnOlderRevisionGetsAConflict() {
+    void aWriteThatExpectsAnOlderRevisionConflicts() {
         apply(OptionalLong.empty(), model("a", "1"));
         apply(OptionalLong.of(1), model("a", "2"));
 
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void anAnswerThatIsLostAfterTheWriteTookEffectIsResolvedByReadingBack() {
+    void aWriteWithALostResponseIsConfirmedByReadingBack() {
         tables.nextWrites(Fault.ANSWER_LOST);
 
         assertAccepted(apply(OptionalLong.empty(), model("a", "1")), 1);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aWriteThatWasLostAndNeverSeenIsNotSaidToBeAccepted() {
+    void aWriteLostOnTheWayHasAnUnknownResult() {
         tables.nextWrites(Fault.REQUEST_LOST);
 
         assertThat(apply(OptionalLong.empty(), model("a", "1"))).isInstanceOf(WriteResult.Unknown.class);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aLateWriteNeverUndoesANewerOne() {
+    void aDelayedWriteDoesNotOverwriteANewerOne() {
         tables.nextWrites(Fault.LATE);
         apply(OptionalLong.empty(), model("a", "1"));
         apply(OptionalLong.empty(), model("a", "2"));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aDeletedRecordLeavesATombstoneAndMovesTheRevision() {
+    void deletingARecordRemovesItAndRaisesTheRevision() {
         apply(OptionalLong.empty(), model("a", "1"));
 
         WriteResult result = writer.delete(List.of(new RecordKey("Model", "a")), "me", OptionalLong.empty())
--- a/radishpass-tables/src/test/java/org/radishpass/tables/once/ClaimStoreTest.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/once/ClaimStoreTest.java
@@ -10,19 +10,19 @@
 import org.radishpass.tables.testing.FakeTables;
 import org.radishpass.tables.testing.FakeTables.Fault;
 
-/** Checks that of all attempts at a request at most one may run it. */
+/** Checks that at most one of several claims of a request is granted, also when writes to the store fail. */
 final class ClaimStoreTest {
     private final FakeTables tables = new FakeTables();
     private final ClaimStore claims = new ClaimStore(tables);
 
     @Test
-    void theFirstMayRunAndTheSecondMayNot() {
+    void onlyTheFirstOfTwoClaimsMayRun() {
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Run.class);
         assertThat(claim("two")).isInstanceOf(ClaimDecision.InProgress.class);
     }
 
     @Test
-    void aClaimWhoseAnswerWasLostIsKnownByItsToken() {
+    void aClaimWithALostResponseIsRecognizedByItsToken() {
         tables.nextWrites(Fault.ANSWER_LOST);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Run.class);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aClaimThatWasLostMayNotRun() {
+    void aClaimLostOnTheWayMayNotRun() {
         tables.nextWrites(Fault.REQUEST_LOST);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aLateClaimCannotTakeWhatAnotherHolds() {
+    void aDelayedClaimDoesNotReplaceALaterOne() {
         tables.nextWrites(Fault.LATE);
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
         assertThat(claim("two")).isInstanceOf(ClaimDecision.Run.class);
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void withoutTheStoreNothingMayRun() {
+    void noRequestMayRunDuringAStoreOutage() {
         tables.out(true);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
     }
 
     @Test
-    void aStoredAnswerIsGivenAgain() {
+    void aFinishedClaimReplaysItsStoredResponse() {
         Claim own = open("one");
         claims.claim("key", own).block();
         claims.finish("key", own.done(201, null, "e30=")).block();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aWithdrawnClaimMayBeClaimedAgainAndOnlyItsOwnerWithdrawsIt() {
+    void onlyTheOwnerCanWithdrawAClaimWhichThenMayBeClaimedAgain() {
         claim("one");
 
         assertThat(claims.withdraw("key", open("two")).block()).isFalse();
--- a/radishpass-tables/src/test/java/org/radishpass/tables/testing/FakeTables.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/testing/FakeTables.java
@@ -12,7 +12,7 @@
 import org.radishpass.tables.table.TableTransaction;
 import reactor.core.publisher.Mono;
 
-/** A table in memory whose writes fail as a test says, one after another. */
+/** An in-memory table service. Tests set a fault for each of the next writes. */
 public final class FakeTables implements TableService {
     private final TreeMap<String, TableRow> rows = new TreeMap<>();
     private final Deque<Fault> faults = new ArrayDeque<>();
@@ -21,24 +21,24 @@
     private int writes;
     private boolean out;
 
-    /** How a write fails. */
+    /** The fault of a write. */
     public enum Fault {
-        /** It does not. */
+        /** The write succeeds. */
         NONE,
-        /** It takes effect and its answer is lost. */
+        /** The write takes effect, but its response is lost. */
         ANSWER_LOST,
-        /** It is lost on the way. */
+        /** The write is lost on the way and never takes effect. */
         REQUEST_LOST,
-        /** Its answer is lost and it takes effect later. */
+        /** The write gets no response and takes effect only when {@link #deliverLate} is called. */
         LATE,
-        /** It is refused. */
+        /** The service refuses the write. */
         REFUSED
     }
 
     /**
-     * Sets how the next writes fail.
+     * Sets the faults of the next writes; later writes succeed.
      *
-     * @param next a fault for each
+     * @param next one fault for each write
      */
     public void nextWrites(Fault... next) {
         faults.addAll(List.of(next));
@@ -47,19 +47,19 @@
     /**
      * Starts or ends an outage.
      *
-     * @param isOut whether nothing answers
+     * @param isOut whether transactions get no response
      */
     public void out(boolean isOut) {
         this.out = isOut;
     }
 
-    /** Lets the writes that are late take effect. */
+    /** Commits the delayed writes, in the order of their arrival. */
     public void deliverLate() {
         late.forEach(this::commit);
         late.clear();
     }
 
-    /** Returns how many writes were asked for. */
+    /** Returns the number of transactions with writes that were received, except during an outage. */
     public int writes() {
         return writes;
     }
