--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpJson.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpJson.java
@@ -12,7 +12,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Reads and writes JSON bodies.
+ * Reads and writes JSON bodies of HTTP messages.
  *
  * @since 0.1.0
  */
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Sends a JSON answer.
+     * Sends a response with a JSON body.
      *
-     * @param response the answer
+     * @param response the response
      * @param status the HTTP status
-     * @param body what is written as JSON
+     * @param body the object to serialize
      */
     public static Publisher<Void> send(HttpServerResponse response, int status, Object body) {
         byte[] bytes = bytes(body);
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Reads a JSON request.
+     * Reads and parses the JSON body of a request.
      *
      * @param request the request
      */
@@ -57,8 +57,8 @@
     /**
      * Parses JSON.
      *
-     * @param bytes the text in UTF-8; nothing stands for an empty object
-     * @throws UncheckedIOException if it is malformed
+     * @param bytes the JSON text in UTF-8; no bytes give an empty object
+     * @throws UncheckedIOException if the text is malformed
      */
     public static JsonNode parse(byte[] bytes) {
         try {
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Writes JSON.
+     * Serializes an object as JSON in UTF-8.
      *
-     * @param body what is written
+     * @param body the object to serialize
      */
     public static byte[] bytes(Object body) {
         try {
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpRuntime.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpRuntime.java
@@ -7,32 +7,32 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * The event loops and connection pools of a process.
+ * The event loops and the connection pool of a process.
  *
  * @since 0.1.0
  */
 public final class HttpRuntime implements AutoCloseable {
-    private static final Duration POOL_IDLE = Duration.ofSeconds(20);
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(20);
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int MAX_CONNECTIONS = 2_000;
-    private static final int MAX_PENDING = 4_000;
+    private static final int MAX_PENDING_ACQUIRES = 4_000;
 
     private final LoopResources loops;
     private final ConnectionProvider pool;
 
     /**
-     * Creates them.
+     * Creates the event loops and the pool.
      *
-     * @param name the prefix of thread names
+     * @param name the prefix of the thread names and the name of the pool
      * @param workers the number of event loops
      */
     public HttpRuntime(String name, int workers) {
         this.loops = LoopResources.create(name, workers, true);
         this.pool = ConnectionProvider.builder(name)
                 .maxConnections(MAX_CONNECTIONS)
-                .pendingAcquireMaxCount(MAX_PENDING)
+                .pendingAcquireMaxCount(MAX_PENDING_ACQUIRES)
                 .pendingAcquireTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS))
-                .maxIdleTime(POOL_IDLE)
+                .maxIdleTime(MAX_IDLE_TIME)
                 .lifo()
                 .build();
     }
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns a client that never sends a request again by itself.
+     * Returns an HTTP client that never retries a request by itself.
      *
      * @see HttpClient#disableRetry(boolean)
      */
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Returns a server that is not bound yet.
+     * Returns an HTTP server that is not bound yet.
      *
      * @param host the address to listen on
-     * @param port the port; 0 lets the system choose
+     * @param port the port; 0 selects a free port
      */
     public HttpServer server(String host, int port) {
         return HttpServer.create().runOn(loops, false).host(host).port(port);
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/http/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP servers and clients as every program sets them up.
+ * The HTTP servers and clients of every program.
  *
  * @since 0.1.0
  */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/log/JsonLogging.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/log/JsonLogging.java
@@ -15,42 +15,44 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sets logging up in code: JSON lines, written by a thread of their own. A configuration file would do the same, but
- * reading it takes a fifth of the processor time of a start.
+ * Configures Logback in code: events are written as JSON lines by a separate thread. A configuration file would do the
+ * same, but parsing it takes a fifth of the processor time of a start.
  *
- * <p>Writing never blocks: where the reader of the lines is slow, lines are left out once the queue is full.
+ * <p>Logging never blocks: if the reader of the lines is slow and the queue is full, lines are dropped.
+ *
+ * <p>Each setting is a system property or, where that is not set, an environment variable:
  *
  * <ul>
- *   <li>{@value #LEVEL} (system property or environment): the least level that is written; INFO unless set.
- *   <li>{@value #TARGET} (system property or environment): System.out or System.err; the latter unless set.
- *   <li>{@value #VM} (system property or environment): the name of this VM; left out unless set.
+ *   <li>{@value #LEVEL_SETTING}: the lowest level that is written; the default is INFO.
+ *   <li>{@value #TARGET_SETTING}: System.out or System.err; the default is System.err.
+ *   <li>{@value #VM_SETTING}: the name of this VM, which is added to each line; none by default.
  * </ul>
  *
  * @since 0.2.0
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class JsonLogging extends ContextAwareBase implements Configurator {
-    /** Names the setting of the least level that is written. */
-    public static final String LEVEL = "RADISHPASS_LOG_LEVEL";
+    /** The name of the setting for the lowest level that is written. */
+    public static final String LEVEL_SETTING = "RADISHPASS_LOG_LEVEL";
 
-    /** Names the setting of where lines go. */
-    public static final String TARGET = "RADISHPASS_LOG_TARGET";
+    /** The name of the setting for the output stream. */
+    public static final String TARGET_SETTING = "RADISHPASS_LOG_TARGET";
 
-    /** Names the setting of the VM's name, which each line then has as {@code vm}. */
-    public static final String VM = "RADISHPASS_LOG_VM";
+    /** The name of the setting for the name of the VM, which each line then has in the field {@code vm}. */
+    public static final String VM_SETTING = "RADISHPASS_LOG_VM";
 
-    /** What needs no escape in JSON. */
-    private static final String PLAIN_NAME = "[A-Za-z0-9._-]+";
+    /** The names that need no escaping in JSON; other VM names are ignored. */
+    private static final String JSON_SAFE_NAME = "[A-Za-z0-9._-]+";
 
-    /** Lines that may wait to be written: some seconds of the most that a router writes; under 2 MB. */
-    private static final int QUEUE = 1_024;
+    /** The capacity of the queue, in lines: some seconds of a router's peak output, in less than 2 MB. */
+    private static final int QUEUE_LINES = 1_024;
 
     @Override
     public ExecutionStatus configure(LoggerContext loggerContext) {
         LogstashEncoder encoder = new LogstashEncoder();
         encoder.setContext(loggerContext);
-        String vm = setting(VM, "");
-        if (vm.matches(PLAIN_NAME)) {
+        String vm = setting(VM_SETTING, "");
+        if (vm.matches(JSON_SAFE_NAME)) {
             encoder.setCustomFields("{\"vm\":\"" + vm + "\"}");
         }
         encoder.setFindAndRegisterJacksonModules(false);
@@ -58,27 +60,27 @@
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(loggerContext);
         console.setName("json");
-        console.setTarget(setting(TARGET, ConsoleTarget.SystemErr.getName()));
+        console.setTarget(setting(TARGET_SETTING, ConsoleTarget.SystemErr.getName()));
         console.setEncoder(encoder);
         console.start();
         AsyncAppender queue = new AsyncAppender();
         queue.setContext(loggerContext);
         queue.setName("queue");
-        queue.setQueueSize(QUEUE);
+        queue.setQueueSize(QUEUE_LINES);
         queue.setNeverBlock(true);
         queue.addAppender(console);
         queue.start();
         loggerContext.getLogger("reactor.netty").setLevel(Level.ERROR);
         loggerContext.getLogger("io.netty").setLevel(Level.ERROR);
         Logger root = loggerContext.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.toLevel(setting(LEVEL, "INFO"), Level.INFO));
+        root.setLevel(Level.toLevel(setting(LEVEL_SETTING, "INFO"), Level.INFO));
         root.addAppender(queue);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    private static String setting(String name, String unset) {
+    private static String setting(String name, String defaultValue) {
         @Nullable String property = System.getProperty(name);
         @Nullable String variable = System.getenv(name);
-        return Objects.requireNonNullElse(property == null ? variable : property, unset);
+        return Objects.requireNonNullElse(property == null ? variable : property, defaultValue);
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/log/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How every program writes its log.
+ * The logging setup of every program.
  *
  * @since 0.2.0
  */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/ControlCpu.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/ControlCpu.java
@@ -7,24 +7,25 @@
 import java.lang.management.ThreadMXBean;
 
 /**
- * Counts the processor time of a process's control threads, apart from traffic's.
+ * Registers the counter of the processor time of a process's control threads, which excludes the threads that serve
+ * traffic, and a gauge of the used heap.
  *
  * @since 0.1.0
  */
 public final class ControlCpu {
-    /** What the names of control threads start with. */
+    /** The prefix of the names of control threads. */
     public static final String THREAD_PREFIX = "control";
 
-    private static final double NANOS = 1_000_000_000;
+    private static final double NANOS_PER_SECOND = 1_000_000_000;
 
     private ControlCpu() {
         // static methods only
     }
 
     /**
-     * Shows the time as a counter.
+     * Registers the metrics.
      *
-     * @param metrics where metrics are kept
+     * @param metrics the registry
      */
     public static void register(MeterRegistry metrics) {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -48,6 +49,6 @@
                 nanos += Math.max(0, threads.getThreadCpuTime(id));
             }
         }
-        return nanos / NANOS;
+        return nanos / NANOS_PER_SECOND;
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/CountingHandler.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/CountingHandler.java
@@ -7,12 +7,12 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Counts the bytes that cross a connection.
+ * A Netty handler that counts the bytes sent and received on a connection.
  *
  * @since 0.1.0
  */
 public final class CountingHandler extends ChannelDuplexHandler {
-    private static final String NAME = "radishpass-bytes";
+    private static final String HANDLER_NAME = "radishpass-bytes";
 
     private final String kind;
     private final TrafficMeter meter;
@@ -23,15 +23,15 @@
     }
 
     /**
-     * Returns a client whose connections are counted.
+     * Returns a client that counts the bytes on all its connections.
      *
-     * @param client the client
-     * @param kind the name under which the bytes are counted
-     * @param meter counts them
+     * @param client the client to derive from
+     * @param kind the kind of traffic under which the bytes are counted
+     * @param meter the meter that counts the bytes
      */
     public static HttpClient counted(HttpClient client, String kind, TrafficMeter meter) {
-        return client.doOnChannelInit(
-                (observer, channel, address) -> channel.pipeline().addFirst(NAME, new CountingHandler(kind, meter)));
+        return client.doOnChannelInit((observer, channel, address) ->
+                channel.pipeline().addFirst(HANDLER_NAME, new CountingHandler(kind, meter)));
     }
 
     @Override
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/TrafficMeter.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/TrafficMeter.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Counts the bytes of control traffic, by kind of message.
+ * Counts the bytes of control traffic by kind of message and direction.
  *
  * @since 0.1.0
  */
 public final class TrafficMeter {
     /** The name of the counter. */
-    public static final String NAME = "radishpass.control.bytes";
+    public static final String COUNTER_NAME = "radishpass.control.bytes";
 
     private final MeterRegistry registry;
     private final ConcurrentHashMap<String, Counter> sent = new ConcurrentHashMap<>();
@@ -20,34 +20,34 @@
     /**
      * Creates a meter.
      *
-     * @param registry where the counters are kept
+     * @param registry the registry for the counters
      */
     public TrafficMeter(MeterRegistry registry) {
         this.registry = registry;
     }
 
     /**
-     * Counts bytes sent.
+     * Counts sent bytes.
      *
      * @param kind the kind of message
-     * @param bytes how many
+     * @param bytes the number of bytes
      */
     public void sent(String kind, int bytes) {
         sent.computeIfAbsent(kind, name -> counter("sent", name)).increment(bytes);
     }
 
     /**
-     * Counts bytes received.
+     * Counts received bytes.
      *
      * @param kind the kind of message
-     * @param bytes how many
+     * @param bytes the number of bytes
      */
     public void received(String kind, int bytes) {
         received.computeIfAbsent(kind, name -> counter("received", name)).increment(bytes);
     }
 
     private Counter counter(String direction, String kind) {
-        return Counter.builder(NAME)
+        return Counter.builder(COUNTER_NAME)
                 .description("bytes of control traffic, by kind of message")
                 .tag("direction", direction)
                 .tag("kind", kind)
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Metrics that several programs keep.
+ * Metrics that several programs share.
  *
  * @since 0.1.0
  */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/CommonSettings.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/CommonSettings.java
@@ -3,23 +3,23 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * The flags that every program has.
+ * The flags that all programs have in common.
  *
  * @since 0.1.0
  */
 public abstract class CommonSettings implements Settings {
-    @Option(name = "--help", aliases = "-h", help = true, usage = "print this and end")
+    @Option(name = "--help", aliases = "-h", help = true, usage = "print this help and exit")
     private boolean help;
 
-    @Option(name = "--version", help = true, usage = "print the version and end")
+    @Option(name = "--version", help = true, usage = "print the version and exit")
     private boolean version;
 
-    /** Tells whether help was asked for. */
+    /** Tells whether the flag for help was given. */
     public final boolean help() {
         return help;
     }
 
-    /** Tells whether the version was asked for. */
+    /** Tells whether the flag for the version was given. */
     public final boolean version() {
         return version;
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/ExitCode.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/ExitCode.java
@@ -6,13 +6,13 @@
  * @since 0.1.0
  */
 public enum ExitCode {
-    /** It did what was asked. */
+    /** The program succeeded. */
     OK(0),
-    /** It failed. */
+    /** The program failed. */
     FAILED(1),
-    /** The flags, the environment or the input are wrong; nothing was done. */
+    /** The flags, the environment variables or the input are invalid; nothing was done. */
     USAGE(2),
-    /** Somebody else's write came first; nothing was done. */
+    /** The write conflicted with another one; nothing was done. */
     CONFLICT(3),
     /** The platform could not be reached. */
     UNAVAILABLE(4);
@@ -23,7 +23,7 @@
         this.number = number;
     }
 
-    /** Returns the number that the shell sees. */
+    /** Returns the exit status of the process. */
     public int number() {
         return number;
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/PortsFile.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/PortsFile.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * Tells whoever started a process which ports it listens on.
+ * Writes the ports on which a process listens to a file, for the program that started the process.
  *
  * @since 0.1.0
  */
@@ -20,15 +20,15 @@
     }
 
     /**
-     * Writes the file whole: a reader sees all of it or nothing.
+     * Writes the file atomically, so that a reader never sees a part of the content.
      *
      * @param file the file
-     * @param content what to write
-     * @throws IOException if it cannot be written
+     * @param content the ports by name, written as JSON
+     * @throws IOException if the file cannot be written
      */
     public static void write(Path file, Map<String, ?> content) throws IOException {
-        Path draft = file.resolveSibling(file.getFileName() + ".draft");
-        Files.write(draft, JSON.writeValueAsBytes(content));
-        Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + ".draft");
+        Files.write(temporary, JSON.writeValueAsBytes(content));
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/ProcessSignals.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/ProcessSignals.java
@@ -3,11 +3,11 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles the signals by which a process is told to stop and to read its settings anew. Without a handler the JVM ends on
+ * Installs handlers for the signals to stop a process and to reload its settings. Without a handler, the JVM exits on
  * both.
  *
- * <p>The JDK's only interface for this, {@code sun.misc.Signal}, is reached by reflection: the compiler's warning on it
- * cannot be switched off, and warnings end the build.
+ * <p>The JDK's only API for this, {@code sun.misc.Signal}, is called by reflection: the compiler's warning about direct
+ * use cannot be suppressed, and warnings fail the build.
  *
  * @since 0.2.0
  */
@@ -20,18 +20,18 @@
     }
 
     /**
-     * Handles the signal to stop (SIGTERM).
+     * Installs a handler for the signal to stop (SIGTERM).
      *
-     * @param task is run on a thread of its own
+     * @param task the handler, which runs on a separate thread
      */
     public static void onTerminate(Runnable task) {
         handle("TERM", task);
     }
 
     /**
-     * Handles the signal to read the settings anew (SIGHUP).
+     * Installs a handler for the signal to reload the settings (SIGHUP).
      *
-     * @param task is run on a thread of its own
+     * @param task the handler, which runs on a separate thread
      */
     public static void onHangup(Runnable task) {
         handle("HUP", task);
@@ -52,7 +52,7 @@
             Object instance = signal.getConstructor(String.class).newInstance(name);
             signal.getMethod("handle", signal, handler).invoke(null, instance, proxy);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("the signal " + name + " cannot be handled on this JDK", e);
+            throw new IllegalStateException("cannot install a handler for the signal " + name + " on this JDK", e);
         }
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/Program.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/Program.java
@@ -7,9 +7,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs a program's main: settings, help, version, exit code.
+ * The main entry of a program: parses the settings, prints help or the version, runs the program and returns its exit
+ * code.
  *
- * @param <S> the program's settings
+ * @param <S> the type of the program's settings
  * @since 0.1.0
  */
 public final class Program<S extends CommonSettings> {
@@ -23,10 +24,10 @@
     /**
      * Creates a program.
      *
-     * @param name its name
-     * @param summary one sentence on what it does
-     * @param settings its settings, to be filled
-     * @param body what it does
+     * @param name the name of the program
+     * @param summary one sentence that describes the program, for the help text
+     * @param settings the settings, which are filled from flags and environment variables
+     * @param body runs the program
      */
     public Program(String name, String summary, S settings, Body<S> body) {
         this.name = name;
@@ -36,12 +37,12 @@
     }
 
     /**
-     * Runs it and returns its exit code.
+     * Runs the program and returns its exit code.
      *
      * @param arguments the command line
-     * @param environment the environment
-     * @param out where results go
-     * @param err where faults go
+     * @param environment the environment variables
+     * @param out the stream for the help text and the version
+     * @param err the stream for error messages
      */
     public ExitCode run(String[] arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
         SettingsParser parser = new SettingsParser(settings);
@@ -49,7 +50,8 @@
         if (settings.help()) {
             out.println(name + ": " + summary);
             out.println();
-            out.println("Each flag --some-flag has an environment twin RADISHPASS_SOME_FLAG; the flag wins.");
+            out.println(
+                    "Each flag --some-flag can be set by the environment variable RADISHPASS_SOME_FLAG; the flag takes precedence.");
             out.println();
             out.print(parser.usage());
             return ExitCode.OK;
@@ -66,7 +68,7 @@
     }
 
     /**
-     * Runs it and ends the process with its exit code.
+     * Runs the program and exits the process with the exit code.
      *
      * @param arguments the command line
      */
@@ -82,7 +84,7 @@
             Thread.currentThread().interrupt();
             return ExitCode.FAILED;
         } catch (Exception e) {
-            LOG.debug("failed", e);
+            LOG.debug("the program failed and exits", e);
             err.println(name + ": " + e.getMessage());
             return ExitCode.FAILED;
         }
@@ -94,18 +96,18 @@
     }
 
     /**
-     * What a program does.
+     * The body of a program.
      *
-     * @param <S> its settings
+     * @param <S> the type of the program's settings
      * @since 0.1.0
      */
     @FunctionalInterface
     public interface Body<S> {
         /**
-         * Runs the program.
+         * Runs the program and returns its exit code.
          *
-         * @param settings its settings, checked
-         * @throws Exception if it fails; the message is for people
+         * @param settings the settings, which have been checked
+         * @throws Exception if the program fails; the message is printed and must be readable for users
          */
         ExitCode run(S settings) throws Exception;
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/SettingChecks.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/SettingChecks.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Checks that several programs share.
+ * Checks of settings that several programs share. Each check adds a message to a list if the setting is invalid.
  *
  * @since 0.1.0
  */
@@ -18,11 +18,11 @@
     }
 
     /**
-     * Adds a fault if a text is missing.
+     * Checks that a setting is present and not blank.
      *
      * @param flag the flag
-     * @param value its value
-     * @param faults where faults go
+     * @param value the value of the flag
+     * @param faults the list to which a message is added
      */
     public static void present(String flag, @Nullable String value, List<String> faults) {
         if (value == null || value.isBlank()) {
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Adds a fault if a value is not an IP literal.
+     * Checks that a value is an IP literal.
      *
      * @param flag the flag
-     * @param value its value
-     * @param faults where faults go
+     * @param value the value of the flag
+     * @param faults the list to which a message is added
      */
     public static void ipLiteral(String flag, String value, List<String> faults) {
         if (!isIpLiteral(value)) {
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Adds a fault if a value is not a port.
+     * Checks that a value is a valid port number or 0.
      *
      * @param flag the flag
-     * @param value its value; 0 lets the system choose
-     * @param faults where faults go
+     * @param value the value of the flag; 0 selects a free port
+     * @param faults the list to which a message is added
      */
     public static void port(String flag, int value, List<String> faults) {
         if (value < 0 || value > MAX_PORT) {
@@ -57,11 +57,11 @@
     }
 
     /**
-     * Adds a fault if a value is not an HTTP address with an IP literal.
+     * Checks that a value is an HTTP or HTTPS URL whose host is an IP literal.
      *
      * @param flag the flag
-     * @param value its value
-     * @param faults where faults go
+     * @param value the value of the flag
+     * @param faults the list to which a message is added
      */
     public static void httpAddress(String flag, @Nullable String value, List<String> faults) {
         if (value == null || value.isBlank()) {
@@ -70,8 +70,8 @@
         }
         try {
             URI uri = URI.create(value);
-            boolean scheme = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
-            if (scheme && uri.getHost() != null && isIpLiteral(uri.getHost())) {
+            boolean httpScheme = "http".equals(uri.getScheme()) || "https".equals(uri.getScheme());
+            if (httpScheme && uri.getHost() != null && isIpLiteral(uri.getHost())) {
                 return;
             }
         } catch (IllegalArgumentException e) {
@@ -82,17 +82,17 @@
     }
 
     /**
-     * Adds a fault if a number lies outside a range.
+     * Checks that a number is within a range.
      *
      * @param flag the flag
-     * @param value its value
-     * @param least the least that is allowed
-     * @param most the most that is allowed
-     * @param faults where faults go
+     * @param value the value of the flag
+     * @param min the lowest allowed value
+     * @param max the highest allowed value
+     * @param faults the list to which a message is added
      */
-    public static void range(String flag, long value, long least, long most, List<String> faults) {
-        if (value < least || value > most) {
-            faults.add(flag + " is " + value + "; write " + least + " to " + most);
+    public static void range(String flag, long value, long min, long max, List<String> faults) {
+        if (value < min || value > max) {
+            faults.add(flag + " is " + value + "; write " + min + " to " + max);
         }
     }
 
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/SettingsParser.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/SettingsParser.java
@@ -13,9 +13,10 @@
 import org.kohsuke.args4j.spi.OptionHandler;
 
 /**
- * Fills settings from flags and, where a flag is not given, from its environment twin.
+ * Fills settings from command line flags. A flag that is not given is taken from its environment variable, if that is
+ * set.
  *
- * <p>The twin of {@code --data-centre} is {@code RADISHPASS_DATA_CENTRE}.
+ * <p>The environment variable of {@code --data-centre} is {@code RADISHPASS_DATA_CENTRE}.
  *
  * @since 0.1.0
  */
@@ -42,11 +43,11 @@
      * Fills the settings.
      *
      * @param arguments the command line
-     * @param environment the environment
-     * @return one line for each fault; none when the settings are good
+     * @param environment the environment variables
+     * @return one message for each invalid setting; empty if all settings are valid
      */
     public List<String> parse(List<String> arguments, Map<String, String> environment) {
-        List<String> all = new ArrayList<>(fromEnvironment(arguments, environment));
+        List<String> all = new ArrayList<>(argumentsFromEnvironment(arguments, environment));
         all.addAll(arguments);
         try {
             parser.parseArgument(all);
@@ -56,7 +57,7 @@
         return settings.faults();
     }
 
-    /** Returns the description of all flags, one a line. */
+    /** Returns the usage text, which describes each flag. */
     public String usage() {
         StringWriter text = new StringWriter();
         parser.printUsage(text, null);
@@ -64,27 +65,28 @@
     }
 
     /**
-     * Returns the environment variable that stands for a flag.
+     * Returns the name of the environment variable of a flag.
      *
-     * @param flag the flag, with its dashes
+     * @param flag the flag, with its leading dashes
      */
     public static String environmentName(String flag) {
         String bare = flag.replaceFirst("^-+", "");
         return ENVIRONMENT_PREFIX + bare.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
-    private List<String> fromEnvironment(List<String> arguments, Map<String, String> environment) {
+    private List<String> argumentsFromEnvironment(List<String> arguments, Map<String, String> environment) {
         List<String> found = new ArrayList<>();
         for (OptionHandler<?> handler : parser.getOptions()) {
             OptionDef option = handler.option;
             if (option instanceof NamedOptionDef named && !arguments.contains(named.name())) {
-                addTwin(named, environment, found);
+                addArgumentFromEnvironment(named, environment, found);
             }
         }
         return found;
     }
 
-    private static void addTwin(NamedOptionDef option, Map<String, String> environment, List<String> found) {
+    private static void addArgumentFromEnvironment(
+            NamedOptionDef option, Map<String, String> environment, List<String> found) {
         String value = environment.get(environmentName(option.name()));
         if (value == null || option.help()) {
             return;
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/VmSettings.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/VmSettings.java
@@ -8,7 +8,8 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * The settings of every program that runs on an entry VM: who and where it is, and where the platform answers.
+ * The settings of every program that runs on an entry VM: its identity, its data centre, its addresses and the
+ * platform's address.
  *
  * @since 0.1.0
  */
@@ -16,16 +17,16 @@
     @Option(name = "--id", metaVar = "ID", usage = "identity of this VM in the platform's VM list")
     private @Nullable String id;
 
-    @Option(name = "--data-centre", metaVar = "NAME", usage = "data centre that this VM stands in")
+    @Option(name = "--data-centre", metaVar = "NAME", usage = "data centre of this VM")
     private @Nullable String dataCentre;
 
     @Option(name = "--listen", metaVar = "IP", usage = "IP literal to listen on")
     private String listen = "127.0.0.1";
 
-    @Option(name = "--port", metaVar = "PORT", usage = "port for callers and operators; 0 lets the system choose")
+    @Option(name = "--port", metaVar = "PORT", usage = "port for callers and operators; 0 selects a free port")
     private int port;
 
-    @Option(name = "--platform", metaVar = "URL", usage = "platform's address, http://IP:PORT")
+    @Option(name = "--platform", metaVar = "URL", usage = "base URL of the platform, http://IP:PORT")
     private @Nullable String platform;
 
     @Option(name = "--ports-file", metaVar = "FILE", usage = "file to write the chosen ports to")
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Adds the faults of the program's own settings.
+     * Checks the settings of the concrete program.
      *
-     * @param faults where faults go
+     * @param faults the list to which a message for each invalid setting is added
      */
     protected abstract void addFaults(List<String> faults);
 
@@ -58,12 +59,12 @@
         return String.valueOf(id);
     }
 
-    /** Returns where it stands. */
+    /** Returns the data centre of this VM. */
     public final DataCentre dataCentre() {
         return new DataCentre(String.valueOf(dataCentre));
     }
 
-    /** Returns the address to listen on. */
+    /** Returns the IP literal to listen on. */
     public final String listen() {
         return listen;
     }
@@ -73,12 +74,12 @@
         return port;
     }
 
-    /** Returns the platform's address. */
+    /** Returns the base URL of the platform. */
     public final String platform() {
         return String.valueOf(platform);
     }
 
-    /** Returns the file for the chosen ports, or null. */
+    /** Returns the file to write the chosen ports to, or null for none. */
     public final @Nullable Path portsFile() {
         return portsFile;
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Flags with environment twins, checked at start, and the exit codes of programs.
+ * Settings of programs, read from flags and environment variables and checked at start, and the exit codes of programs.
  *
  * @since 0.1.0
  */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/ControlThread.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/ControlThread.java
@@ -12,7 +12,7 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * The thread that owns a process's control state. All that runs here runs one after another.
+ * The thread that owns the control state of a process. Its tasks run one at a time.
  *
  * @since 0.1.0
  */
@@ -23,18 +23,18 @@
     private final TaskFailures failures = new TaskFailures(LOG);
 
     /**
-     * Starts the thread.
+     * Creates a control thread, a daemon thread that starts with its first task.
      *
-     * @param name its name
+     * @param name the name of the thread
      */
     public ControlThread(String name) {
         this(Schedulers.fromExecutorService(executor(name), name));
     }
 
     /**
-     * Takes a scheduler for the thread.
+     * Creates a control thread on an existing scheduler.
      *
-     * @param scheduler runs tasks one after another, in the order of the times at which they are due
+     * @param scheduler the scheduler; must run tasks one at a time, in the order of their due times
      */
     public ControlThread(Scheduler scheduler) {
         this.scheduler = scheduler;
@@ -48,49 +48,50 @@
         });
     }
 
-    /** Returns the thread as a scheduler. */
+    /** Returns the scheduler that runs tasks on this thread. */
     public Scheduler scheduler() {
         return scheduler;
     }
 
     /**
-     * Runs a task soon.
+     * Runs a task as soon as possible. A task that throws is logged.
      *
      * @param task the task
      */
     public void run(Runnable task) {
-        scheduler.schedule(guarded(task));
+        scheduler.schedule(loggingFailures(task));
     }
 
     /**
-     * Computes a value here.
+     * Computes a value on this thread, once for each subscription. An exception of the task fails the result.
      *
-     * @param task computes it
-     * @param <T> its type
+     * @param task computes the value
+     * @param <T> the type of the value
      */
     public <T> Mono<T> call(Callable<T> task) {
         return Mono.fromCallable(task).subscribeOn(scheduler);
     }
 
     /**
-     * Runs a task again and again.
+     * Runs a task periodically. The first run is after one period. A run that throws is logged, and the next one
+     * follows as planned.
      *
-     * @param period the time from one run's start to the next
+     * @param period the time between the starts of two runs
      * @param task the task
      */
     public void every(Duration period, Runnable task) {
         long millis = period.toMillis();
-        scheduler.schedulePeriodically(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+        scheduler.schedulePeriodically(loggingFailures(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Runs a task once, later.
+     * Runs a task once after a delay. A task that throws is logged.
      *
-     * @param delay the time until then
+     * @param delay the delay
      * @param task the task
      */
     public void after(Duration delay, Runnable task) {
-        scheduler.schedule(guarded(task), delay.toMillis(), TimeUnit.MILLISECONDS);
+        scheduler.schedule(loggingFailures(task), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -98,12 +99,12 @@
         scheduler.dispose();
     }
 
-    private Runnable guarded(Runnable task) {
+    private Runnable loggingFailures(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                failures.failed(e);
+                failures.recordFailure(e);
             }
         };
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/TaskFailures.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/TaskFailures.java
@@ -5,12 +5,13 @@
 import org.slf4j.Logger;
 
 /**
- * Logs tasks that fail. A periodic task that fails does so many times a second: of equal failures the first, second, fourth, eighth and so on
- * are logged, with their number. Belongs to the thread that runs the tasks.
+ * Logs failures of tasks at a limited rate, because a periodic task may fail many times a second. Of equal failures,
+ * the first, second, fourth, eighth and so on are logged with their number. Not thread-safe; belongs to the thread that
+ * runs the tasks.
  */
 final class TaskFailures {
-    /** Different failures that are counted; beyond that all are counted anew. */
-    private static final int MOST_KNOWN = 100;
+    /** The number of distinct failures that are counted. When it is reached, all counts are reset. */
+    private static final int MAX_DISTINCT_FAILURES = 100;
 
     private final Logger log;
     private final Map<String, Long> counts = new HashMap<>();
@@ -20,19 +21,19 @@
     }
 
     /**
-     * Notes that a task failed.
+     * Counts a failure of a task, and logs the failure if its number is a power of two.
      *
-     * @param failure what it threw
-     * @return whether that was logged
+     * @param failure the exception that the task threw
+     * @return whether the failure was logged
      */
-    boolean failed(RuntimeException failure) {
-        if (counts.size() >= MOST_KNOWN) {
+    boolean recordFailure(RuntimeException failure) {
+        if (counts.size() >= MAX_DISTINCT_FAILURES) {
             counts.clear();
         }
         long count = counts.merge(failure.toString(), 1L, Long::sum);
         boolean logged = Long.bitCount(count) == 1;
         if (logged) {
-            log.error("a control task failed, for the {}. time in the same way", count, failure);
+            log.error("a control task failed; occurrence {} of this failure", count, failure);
         }
         return logged;
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The one thread that owns a process's control state.
+ * The single thread that owns the control state of a process.
  *
  * @since 0.1.0
  */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
@@ -1,32 +1,33 @@
 package org.radishpass.runtime.transfer;
 
 /**
- * How long a transfer is waited for: as long as it moves. A bound on the whole, whatever the size, gave up documents of 500 KB on links
- * of 10 Mbit/s just before their end, and began them anew on the same link, over and over: after a loss of power of all routers
- * none had a configuration for 4 s.
+ * The progress of a transfer, and the deadline that follows from it. A transfer may continue as long as bytes arrive at
+ * a minimum rate. A fixed overall timeout would abort documents of 500 KB on links of 10 Mbit/s just before their end,
+ * and restart them on the same link again and again: with such a timeout, no router had a configuration for 4 s after a
+ * power loss of all routers.
  *
  * <p>Not thread-safe.
  *
  * @since 0.4.0
  */
 public final class TransferProgress {
-    /** Milliseconds without a byte after which a transfer stands still: three times what the store takes while it is slow. */
+    /** The time without a byte after which a transfer has stalled: three times the response time of a slow store. */
     public static final long STANDSTILL_MILLIS = 800;
 
     /**
-     * Bytes a millisecond below which a transfer is not worth waiting for: under a tenth of the smallest link that is supported
-     * (7 Mbit/s, 875 bytes a millisecond), which it shares with callers' traffic.
+     * The minimum rate of a transfer in bytes per millisecond. The rate is less than a tenth of the slowest supported
+     * link (7 Mbit/s, 875 bytes per millisecond), because transfers share that link with the traffic of callers.
      */
-    static final long LEAST_BYTES_PER_MILLI = 64;
+    static final long MIN_BYTES_PER_MILLI = 64;
 
     private final long startMillis;
     private long lastMillis;
     private long bytes;
 
     /**
-     * Begins a transfer.
+     * Creates the progress of a transfer without any bytes.
      *
-     * @param startMillis when it was asked for, on a monotonic clock in milliseconds
+     * @param startMillis the time when the transfer was requested, on a monotonic clock in milliseconds
      */
     public TransferProgress(long startMillis) {
         this.startMillis = startMillis;
@@ -34,24 +35,24 @@
     }
 
     /**
-     * Takes note of bytes that have come.
+     * Records received bytes.
      *
-     * @param count how many
-     * @param nowMillis the time on the same clock
+     * @param count the number of bytes
+     * @param nowMillis the current time, on the same clock
      */
     public void received(long count, long nowMillis) {
         bytes += count;
         lastMillis = nowMillis;
     }
 
-    /** Returns the bytes that have come. */
+    /** Returns the number of bytes received so far. */
     public long bytes() {
         return bytes;
     }
 
-    /** Returns until when it is waited for if nothing more comes, on the same clock in milliseconds. */
+    /** Returns the time at which the transfer fails if no more bytes arrive, on the same clock in milliseconds. */
     public long deadlineMillis() {
-        long slowest = startMillis + STANDSTILL_MILLIS + bytes / LEAST_BYTES_PER_MILLI;
-        return Math.min(slowest, lastMillis + STANDSTILL_MILLIS);
+        long minRateDeadline = startMillis + STANDSTILL_MILLIS + bytes / MIN_BYTES_PER_MILLI;
+        return Math.min(minRateDeadline, lastMillis + STANDSTILL_MILLIS);
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/package-info.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Transfers of documents: how long one that is under way is waited for.
+ * Progress tracking and timeouts of document transfers.
  *
  * @since 0.4.0
  */
--- a/radishpass-runtime/src/test/java/org/radishpass/runtime/settings/SettingsParserTest.java
+++ b/radishpass-runtime/src/test/java/org/radishpass/runtime/settings/SettingsParserTest.java
@@ -7,32 +7,32 @@
 import org.junit.jupiter.api.Test;
 import org.kohsuke.args4j.Option;
 
-/** Checks flags, their environment twins and what is said of wrong ones. */
+/** Checks the parsing of flags and their environment variables, and the messages about invalid settings. */
 final class SettingsParserTest {
-    private static final List<String> GOOD =
+    private static final List<String> VALID_ARGUMENTS =
             List.of("--id", "vm-1", "--data-centre", "papine", "--platform", "http://10.0.0.9:80");
 
     private final Example settings = new Example();
     private final SettingsParser parser = new SettingsParser(settings);
 
     @Test
-    void flagsAreRead() {
-        assertThat(parser.parse(GOOD, Map.of())).isEmpty();
+    void flagsAreParsed() {
+        assertThat(parser.parse(VALID_ARGUMENTS, Map.of())).isEmpty();
         assertThat(settings.id()).isEqualTo("vm-1");
         assertThat(settings.limit).isEqualTo(7);
     }
 
     @Test
-    void aFlagThatIsNotGivenComesFromTheEnvironmentAndTheFlagWins() {
+    void aFlagOverridesItsEnvironmentVariable() {
         Map<String, String> environment = Map.of("RADISHPASS_LIMIT", "3", "RADISHPASS_ID", "other");
 
-        assertThat(parser.parse(GOOD, environment)).isEmpty();
+        assertThat(parser.parse(VALID_ARGUMENTS, environment)).isEmpty();
         assertThat(settings.limit).isEqualTo(3);
         assertThat(settings.id()).isEqualTo("vm-1");
     }
 
     @Test
-    void everyWrongSettingGivesALine() {
+    void everyInvalidSettingIsReportedOnItsOwnLine() {
         List<String> faults =
                 parser.parse(List.of("--listen", "localhost", "--limit", "99", "--port", "70000"), Map.of());
 
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anAddressWithANameIsWrong() {
+    void aPlatformAddressWithAHostNameIsRejected() {
         List<String> faults =
                 parser.parse(List.of("--id", "a", "--data-centre", "b", "--platform", "http://platform:80"), Map.of());
 
@@ -56,12 +56,12 @@
     }
 
     @Test
-    void anUnknownFlagIsOneFault() {
+    void anUnknownFlagIsRejected() {
         assertThat(parser.parse(List.of("--lmit", "3"), Map.of())).hasSize(1);
     }
 
     @Test
-    void helpNeedsNothingElse() {
+    void helpNeedsNoOtherFlag() {
         assertThat(parser.parse(List.of("--help"), Map.of())).isEmpty();
         assertThat(parser.usage()).contains("--data-centre");
     }
--- a/radishpass-runtime/src/test/java/org/radishpass/runtime/transfer/TransferProgressTest.java
+++ b/radishpass-runtime/src/test/java/org/radishpass/runtime/transfer/TransferProgressTest.java
@@ -4,19 +4,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks which transfers are waited for. */
+/** Checks the deadlines of transfers that progress, stall or are too slow. */
 final class TransferProgressTest {
     private static final long START = 5_000;
 
     private final TransferProgress transfer = new TransferProgress(START);
 
     @Test
-    void nothingAtAllIsWaitedForOnlySoLong() {
+    void aTransferWithoutBytesEndsAfterTheStallTimeout() {
         assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STANDSTILL_MILLIS);
     }
 
     @Test
-    void whatMovesIsWaitedForHoweverLongItTakes() {
+    void aTransferThatProgressesHasNoOverallTimeout() {
         int seconds = 6;
         for (int second = 0; second < seconds; second++) {
             long nowMillis = START + 500 + second * 1_000L;
@@ -28,14 +28,14 @@
     }
 
     @Test
-    void whatStandsStillIsGivenUpHoweverMuchHasCome() {
+    void aStalledTransferEndsHoweverManyBytesWereReceived() {
         transfer.received(2_000_000, START + 300);
 
         assertThat(transfer.deadlineMillis()).isEqualTo(START + 300 + TransferProgress.STANDSTILL_MILLIS);
     }
 
     @Test
-    void aByteASecondIsNotProgress() {
+    void aTransferBelowTheMinimumRateIsNotExtended() {
         transfer.received(1, START + 700);
 
         assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STANDSTILL_MILLIS);
