--- a/radishpass-records/src/main/java/org/radishpass/records/CapacitySpec.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/CapacitySpec.java
@@ -1,19 +1,19 @@
 package org.radishpass.records;
 
 /**
- * How many engines of a model each data centre keeps.
+ * The number of ready and of sleeping engines of a model that every data centre keeps.
  *
- * @param name the record
- * @param model the model
- * @param ready the engines that stand ready
- * @param asleep the engines that sleep
+ * @param name the name of the record
+ * @param model the name of the model
+ * @param ready the number of engines that can serve requests at once
+ * @param asleep the number of sleeping engines
  * @since 0.1.0
  */
 public record CapacitySpec(String name, String model, int ready, int asleep) {
     /**
-     * Reads a stored spec.
+     * Creates the spec from a stored record.
      *
-     * @param stored the record
+     * @param stored the stored record
      */
     static CapacitySpec of(StoredRecord stored) {
         return new CapacitySpec(
--- a/radishpass-records/src/main/java/org/radishpass/records/Configuration.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/Configuration.java
@@ -14,7 +14,7 @@
 import org.radishpass.records.schema.RecordKind;
 
 /**
- * The configuration at one revision, immutable.
+ * An immutable snapshot of all configuration records at one revision.
  *
  * @since 0.1.0
  */
@@ -29,7 +29,7 @@
     private final Map<String, ModelSpec> models = new HashMap<>();
     private final Map<String, ServiceSpec> services = new HashMap<>();
     private final Map<String, CapacitySpec> capacities = new HashMap<>();
-    private final Set<String> orderChecking = new HashSet<>();
+    private final Set<String> endpointsCheckingFencingTokens = new HashSet<>();
     private final JsonNode fleet;
 
     private Configuration(long revision, Map<RecordKey, StoredRecord> records) {
@@ -42,16 +42,16 @@
         records.values().stream().filter(stored -> !stored.deleted()).forEach(this::index);
     }
 
-    /** Returns the configuration before any record was written. */
+    /** Returns the empty configuration at revision 0, before the first write. */
     public static Configuration empty() {
         return EMPTY;
     }
 
     /**
-     * Returns a configuration made of all records at a revision.
+     * Returns the configuration that consists of the given records.
      *
-     * @param revision the revision
-     * @param records the records, tombstones among them
+     * @param revision the revision at which the records were read
+     * @param records all records at that revision, including tombstones
      */
     public static Configuration of(long revision, Collection<StoredRecord> records) {
         Map<RecordKey, StoredRecord> byKey = new TreeMap<>();
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Returns this configuration after further changes.
+     * Returns a configuration that results from applying changes to this one.
      *
-     * @param changes the changes that follow this revision, in order and without a gap
-     * @throws IllegalArgumentException if the changes do not follow this revision
+     * @param changes the changes after this revision, in ascending order and without a gap
+     * @throws IllegalArgumentException if a change's revision is not the one after its predecessor's
      */
     public Configuration after(List<ConfigurationChange> changes) {
         Map<RecordKey, StoredRecord> byKey = new TreeMap<>(records);
@@ -79,90 +79,90 @@
         return new Configuration(expected, byKey);
     }
 
-    /** Returns the fleet-wide revision. */
+    /** Returns the fleet-wide revision of this configuration. */
     public long revision() {
         return revision;
     }
 
-    /** Returns all records, tombstones among them. */
+    /** Returns all records, including tombstones. */
     public Collection<StoredRecord> records() {
         return records.values();
     }
 
     /**
-     * Returns one workspace.
+     * Returns the workspace with a name, or nothing if there is none.
      *
-     * @param name its name
+     * @param name the name of the workspace
      */
     public Optional<WorkspaceSpec> workspace(String name) {
         return Optional.ofNullable(workspaces.get(name));
     }
 
-    /** Returns the models. */
+    /** Returns all models. */
     public Collection<ModelSpec> models() {
         return models.values();
     }
 
     /**
-     * Returns one model.
+     * Returns the model with a name, or nothing if there is none.
      *
-     * @param name its name
+     * @param name the name of the model
      */
     public Optional<ModelSpec> model(String name) {
         return Optional.ofNullable(models.get(name));
     }
 
     /**
-     * Returns the pool that serves a model as a caller names it.
+     * Returns the pool of endpoints that serves a model, or nothing if the model or adapter is unknown.
      *
-     * @param named the model, or model and adapter parted by a colon
+     * @param requested the model as the caller wrote it: {@code model} or {@code model:adapter}
      */
-    public Optional<String> poolOf(String named) {
-        int colon = named.indexOf(':');
+    public Optional<String> poolOf(String requested) {
+        int colon = requested.indexOf(':');
         if (colon < 0) {
-            return model(named).map(ModelSpec::pool);
+            return model(requested).map(ModelSpec::pool);
         }
-        String adapter = named.substring(colon + 1);
-        return model(named.substring(0, colon))
+        String adapter = requested.substring(colon + 1);
+        return model(requested.substring(0, colon))
                 .filter(model -> model.adapters().contains(adapter))
                 .map(model -> model.pool(adapter));
     }
 
     /**
-     * Returns one service.
+     * Returns the service with a name, or nothing if there is none.
      *
-     * @param name its name
+     * @param name the name of the service
      */
     public Optional<ServiceSpec> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the declared capacities. */
+    /** Returns all capacity records. */
     public Collection<CapacitySpec> capacities() {
         return capacities.values();
     }
 
     /**
-     * Tells whether an endpoint refuses orders with an old fencing number.
+     * Tells whether an endpoint rejects orders whose fencing token is outdated.
      *
-     * @param endpointId the endpoint
+     * @param endpointId the id of the endpoint
      */
-    public boolean checksOrders(String endpointId) {
-        return orderChecking.contains(endpointId);
+    public boolean checksFencingTokens(String endpointId) {
+        return endpointsCheckingFencingTokens.contains(endpointId);
     }
 
-    /** Returns the bound for workspaces that set none. */
-    public LoadBound fleetBound() {
+    /** Returns the load bound of workspaces whose record sets none. */
+    public LoadBound fleetLoadBound() {
         double multiple = fleet.path("loadBound").asDouble(LoadBound.DEFAULT.multiple());
         return new LoadBound(multiple);
     }
 
-    /** Returns how many retries each first attempt earns. */
+    /** Returns the number of retries that each first attempt adds to the retry budget. */
     public double retryRatio() {
         return fleet.path("retryRatio").asDouble(DEFAULT_RETRY_RATIO);
     }
 
-    /** Returns the placement policy; a name that is not known stands for the fleet's own. */
+    /** Returns the placement policy of the fleet, or {@code BOUNDED_AFFINITY} if its name is missing or unknown. */
     public PlacementPolicy policy() {
         String name = fleet.path("policy")
                 .asText("")
@@ -182,17 +182,17 @@
             return;
         }
         switch (kind) {
-            case WORKSPACE -> workspaces.put(stored.name(), WorkspaceSpec.of(stored, fleetBound()));
+            case WORKSPACE -> workspaces.put(stored.name(), WorkspaceSpec.of(stored, fleetLoadBound()));
             case MODEL -> models.put(stored.name(), ModelSpec.of(stored));
             case SERVICE -> services.put(stored.name(), ServiceSpec.of(stored));
             case CAPACITY -> capacities.put(stored.name(), CapacitySpec.of(stored));
             case ENDPOINT_POLICY -> {
                 if (stored.spec().path("checksOrders").asBoolean()) {
-                    stored.spec().path("endpoints").forEach(id -> orderChecking.add(id.asText()));
+                    stored.spec().path("endpoints").forEach(id -> endpointsCheckingFencingTokens.add(id.asText()));
                 }
             }
             case FLEET -> {
-                // read by name when asked for
+                // the constructor looks up this record by its name
             }
         }
     }
--- a/radishpass-records/src/main/java/org/radishpass/records/KeyHash.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/KeyHash.java
@@ -6,25 +6,25 @@
 import java.util.HexFormat;
 
 /**
- * The salted hash of a caller's key.
+ * The salted hash of the secret part of a caller's API key.
  *
- * @param salt the salt
- * @param sha256 the hash of salt and secret, in hexadecimal
+ * @param salt the salt that is stored with the hash
+ * @param sha256 the SHA-256 of salt and secret together, in hexadecimal
  * @since 0.1.0
  */
 public record KeyHash(String salt, String sha256) {
     /**
-     * Hashes a secret.
+     * Returns the hash of a secret.
      *
-     * @param salt the salt
+     * @param salt the salt that is stored with the hash
      * @param secret the secret
      */
     public static KeyHash of(String salt, String secret) {
-        return new KeyHash(salt, HexFormat.of().formatHex(digest(salt + secret)));
+        return new KeyHash(salt, HexFormat.of().formatHex(sha256Digest(salt + secret)));
     }
 
     /**
-     * Tells whether this is the hash of a secret, in a time that does not depend on where they differ.
+     * Tells whether this is the hash of a secret. The comparison takes constant time, to prevent timing attacks.
      *
      * @param secret the secret
      */
@@ -34,7 +34,7 @@
         return MessageDigest.isEqual(expected, actual);
     }
 
-    private static byte[] digest(String text) {
+    private static byte[] sha256Digest(String text) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException e) {
--- a/radishpass-records/src/main/java/org/radishpass/records/ModelSpec.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/ModelSpec.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * A model with the version in service and its adapters.
+ * A model with its version in service and its adapters.
  *
- * @param name the model
- * @param version the version that new requests go to
- * @param adapters the adapters that are loaded beside it
+ * @param name the name of the model
+ * @param version the version that serves new requests
+ * @param adapters the names of the adapters that are loaded with the model
  * @since 0.1.0
  */
 public record ModelSpec(String name, String version, List<String> adapters) {
     /**
-     * Reads a stored spec.
+     * Creates the spec from a stored record.
      *
-     * @param stored the record
+     * @param stored the stored record
      */
     static ModelSpec of(StoredRecord stored) {
         JsonNode spec = stored.spec();
@@ -25,7 +25,7 @@
         return new ModelSpec(stored.name(), spec.path("version").asText(), List.copyOf(adapters));
     }
 
-    /** Returns the pool of the endpoints that serve the model itself. */
+    /** Returns the pool of the endpoints that serve the model without an adapter. */
     public String pool() {
         return name + "@" + version;
     }
@@ -33,13 +33,13 @@
     /**
      * Returns the pool of the endpoints that serve the model with an adapter.
      *
-     * @param adapter the adapter
+     * @param adapter the name of the adapter
      */
     public String pool(String adapter) {
         return name + ":" + adapter + "@" + version;
     }
 
-    /** Returns all pools that an engine serves once this model is loaded whole. */
+    /** Returns all pools that an engine serves once the model and all its adapters are loaded. */
     public List<String> pools() {
         List<String> pools = new ArrayList<>();
         pools.add(pool());
--- a/radishpass-records/src/main/java/org/radishpass/records/RecordDocument.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/RecordDocument.java
@@ -5,13 +5,13 @@
 import org.radishpass.records.schema.SchemaVersion;
 
 /**
- * A record as an operator writes it.
+ * A configuration record as an operator wrote it in a file.
  *
- * @param version the schema version it is written under
- * @param kind its kind
- * @param name its name, unique among its kind
- * @param spec its content under that version
- * @param source the file it came from, for messages
+ * @param version the schema version of the spec
+ * @param kind the kind of the record
+ * @param name the name of the record, unique within its kind
+ * @param spec the content of the record under that schema version
+ * @param source the file and the document's number in the file, for messages
  * @since 0.1.0
  */
 public record RecordDocument(SchemaVersion version, RecordKind kind, String name, ObjectNode spec, String source) {
--- a/radishpass-records/src/main/java/org/radishpass/records/RecordJson.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/RecordJson.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.datatype.jsr310.JavaTimeModule;
 
 /**
- * The JSON mapping that everything stored or sent between processes uses.
+ * The JSON mapper for all data that processes store or send to each other.
  *
  * @since 0.1.0
  */
@@ -22,7 +22,7 @@
         // static methods only
     }
 
-    /** Returns the mapper, which is safe for threads. */
+    /** Returns the mapper, which is thread-safe. */
     public static ObjectMapper mapper() {
         return MAPPER;
     }
--- a/radishpass-records/src/main/java/org/radishpass/records/RecordKey.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/RecordKey.java
@@ -1,10 +1,10 @@
 package org.radishpass.records;
 
 /**
- * Names a record.
+ * The unique key of a configuration record. Keys are ordered by kind, then by name.
  *
- * @param kind the kind, as it stands in {@code kind}
- * @param name the name
+ * @param kind the value of the record's {@code kind}
+ * @param name the name of the record
  * @since 0.1.0
  */
 public record RecordKey(String kind, String name) implements Comparable<RecordKey> {
--- a/radishpass-records/src/main/java/org/radishpass/records/ServiceSpec.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/ServiceSpec.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * A plain service and its calls.
+ * A plain service, which is an HTTP service without a model, and the calls that it offers.
  *
- * @param name the service
- * @param calls the calls that it offers; others are not passed on
+ * @param name the name of the service
+ * @param calls the calls that the service offers; a router forwards no other calls
  * @since 0.1.0
  */
 public record ServiceSpec(String name, List<Call> calls) {
     /**
-     * Reads a stored spec.
+     * Creates the spec from a stored record.
      *
-     * @param stored the record
+     * @param stored the stored record
      */
     static ServiceSpec of(StoredRecord stored) {
         List<Call> calls = new ArrayList<>();
@@ -28,34 +28,34 @@
         return new ServiceSpec(stored.name(), List.copyOf(calls));
     }
 
-    /** Returns the pool of the endpoints that run the service. */
+    /** Returns the pool of the endpoints that serve this service. */
     public String pool() {
         return pool(name);
     }
 
     /**
-     * Returns the pool of a service.
+     * Returns the pool of the endpoints that serve a service.
      *
-     * @param service its name
+     * @param service the name of the service
      */
     public static String pool(String service) {
         return "service/" + service;
     }
 
     /**
-     * One call of a service.
+     * A call that a service offers.
      *
      * @param method the HTTP method
-     * @param path the path; a star at its end stands for anything
-     * @param idempotent whether running it twice does no harm
+     * @param path the path; a trailing {@code *} matches any suffix
+     * @param idempotent whether the call may be executed more than once
      * @since 0.1.0
      */
     public record Call(String method, String path, boolean idempotent) {
         /**
-         * Tells whether a request is this call.
+         * Tells whether the method and path of a request match this call.
          *
-         * @param requestMethod the request's method
-         * @param requestPath the request's path
+         * @param requestMethod the HTTP method of the request
+         * @param requestPath the path of the request
          */
         public boolean matches(String requestMethod, String requestPath) {
             if (!method.equalsIgnoreCase(requestMethod)) {
--- a/radishpass-records/src/main/java/org/radishpass/records/StoredRecord.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/StoredRecord.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A record as the table service holds it, under the storage version of its kind.
+ * A configuration record in its stored form, as the table service holds it.
  *
- * <p>A deleted record stays as a tombstone, so that a reader that missed the change still learns of it.
+ * <p>A deleted record stays as a tombstone, so that a reader that missed the deletion still sees it.
  *
- * @param kind the kind, possibly one that this program does not know
- * @param name the name
- * @param revision the fleet-wide revision that wrote it
- * @param deleted whether this is a tombstone
- * @param spec the content
+ * @param kind the kind of the record, which this version of the program may not know
+ * @param name the name of the record
+ * @param revision the fleet-wide revision that last changed the record
+ * @param deleted whether the record is a tombstone
+ * @param spec the content of the record, in the stored form of its kind
  * @since 0.1.0
  */
 public record StoredRecord(String kind, String name, long revision, boolean deleted, ObjectNode spec) {
--- a/radishpass-records/src/main/java/org/radishpass/records/WorkspaceSpec.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/WorkspaceSpec.java
@@ -7,15 +7,15 @@
 import org.radishpass.core.load.LoadBound;
 
 /**
- * What a workspace may do and how its requests are placed.
+ * The keys, limits and placement settings of a workspace.
  *
- * @param name the workspace
- * @param keys the keys that are valid, two at once while one is replaced
- * @param defaultClass the class of requests that name none
- * @param inFlight the most requests in progress in the whole fleet
- * @param queued the most requests that may wait at one router
- * @param bound the multiple of the mean load that its requests may bring an endpoint to
- * @param spread over how many endpoints its chats are spread; 0 for all
+ * @param name the name of the workspace
+ * @param keys the hashes of all valid keys; there are two while a key is being replaced
+ * @param defaultClass the priority class of requests that specify none
+ * @param inFlight the maximum number of requests in progress in the whole fleet
+ * @param queued the maximum number of requests that may wait at one router
+ * @param bound the maximum load to which the workspace's requests may bring an endpoint, as a multiple of the mean load
+ * @param spread the number of endpoints that the workspace's chats are spread over; 0 means all endpoints
  * @since 0.1.0
  */
 public record WorkspaceSpec(
@@ -30,12 +30,12 @@
     private static final int DEFAULT_QUEUED = 200;
 
     /**
-     * Reads a stored spec.
+     * Creates the spec from a stored record.
      *
-     * @param stored the record
-     * @param fleetBound the bound where the record sets none
+     * @param stored the stored record
+     * @param fleetLoadBound the load bound to use if the record sets none
      */
-    static WorkspaceSpec of(StoredRecord stored, LoadBound fleetBound) {
+    static WorkspaceSpec of(StoredRecord stored, LoadBound fleetLoadBound) {
         JsonNode spec = stored.spec();
         List<KeyHash> keys = new ArrayList<>();
         spec.path("keys")
@@ -48,12 +48,13 @@
                 PriorityClass.byWireName(spec.path("defaultClass").asText()).orElse(PriorityClass.INTERACTIVE),
                 spec.path("limits").path("inFlight").asInt(DEFAULT_IN_FLIGHT),
                 spec.path("limits").path("queued").asInt(DEFAULT_QUEUED),
-                multiple.isNumber() ? new LoadBound(multiple.doubleValue()) : fleetBound,
+                multiple.isNumber() ? new LoadBound(multiple.doubleValue()) : fleetLoadBound,
                 spec.path("placement").path("spread").asInt(0));
     }
 
     /**
-     * Tells whether a secret belongs to this workspace.
+     * Tells whether a secret matches one of the workspace's keys. All keys are compared, so that the time taken
+     * does not depend on which key matches.
      *
      * @param secret the secret part of a caller's key
      */
--- a/radishpass-records/src/main/java/org/radishpass/records/package-info.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Configuration records: schema versions, reading, checking and conversion.
+ * Configuration records: the stored form, the typed specs and the parser for record files.
  *
  * @since 0.1.0
  */
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/Field.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/Field.java
@@ -5,7 +5,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One field of a schema: where it stands, what it holds, and where its value is stored.
+ * One field of a schema: its path and type, and the path and form of its stored value.
  *
  * @since 0.1.0
  */
@@ -29,51 +29,51 @@
     }
 
     /**
-     * Starts the description of a field.
+     * Returns a builder for the field at a path.
      *
-     * @param path its path in the spec, steps parted by dots
-     * @param type what it holds
+     * @param path the path in the spec, separated by dots
+     * @param type the type of the value
      */
     public static Builder at(String path, FieldType type) {
         return new Builder(path, type);
     }
 
-    /** Returns the path in the spec, steps parted by dots. */
+    /** Returns the path in the spec, separated by dots. */
     public String path() {
         return path;
     }
 
-    /** Returns what it holds. */
+    /** Returns the type of the value. */
     public FieldType type() {
         return type;
     }
 
-    /** Tells whether it must be there. */
+    /** Tells whether the field is required. */
     public boolean required() {
         return required;
     }
 
-    /** Returns the path in the stored spec. */
+    /** Returns the path in the stored spec, separated by dots. */
     public String storedPath() {
         return storedPath;
     }
 
-    /** Returns the fields of each element, where this is a list of objects. */
+    /** Returns the fields of each element of a list of objects; empty for other types. */
     public List<Field> elements() {
         return elements;
     }
 
     /**
-     * Turns a value into its stored form.
+     * Converts a value of this schema version to its stored form.
      *
-     * @param value the value under this schema
+     * @param value the value under this schema version
      */
     public JsonNode toStored(JsonNode value) {
         return toStored.apply(value);
     }
 
     /**
-     * Turns a stored value into this schema's form.
+     * Converts a stored value to the form of this schema version.
      *
      * @param value the stored value
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Builds a field.
+     * Builder of a field.
      *
      * @since 0.1.0
      */
@@ -101,37 +101,38 @@
             this.storedPath = path;
         }
 
-        /** Makes the field one that must be there. */
-        public Builder mustBeThere() {
+        /** Makes the field required. */
+        public Builder required() {
             this.required = true;
             return this;
         }
 
         /**
-         * Sets where and how the value is stored, if not as it stands.
+         * Sets the path and form of the stored value, if they differ from those in the spec.
          *
-         * @param newStoredPath the path in the stored spec
-         * @param to turns a value into its stored form
-         * @param from turns a stored value back
+         * @param newStoredPath the path in the stored spec, separated by dots
+         * @param newToStored converts a value to its stored form
+         * @param newFromStored converts a stored value back
          */
-        public Builder storedAt(String newStoredPath, UnaryOperator<JsonNode> to, UnaryOperator<JsonNode> from) {
+        public Builder storedAt(
+                String newStoredPath, UnaryOperator<JsonNode> newToStored, UnaryOperator<JsonNode> newFromStored) {
             this.storedPath = newStoredPath;
-            this.toStored = to;
-            this.fromStored = from;
+            this.toStored = newToStored;
+            this.fromStored = newFromStored;
             return this;
         }
 
         /**
          * Sets the fields of each element of a list of objects.
          *
-         * @param newElements the fields
+         * @param newElements the fields of each element
          */
-        public Builder of(Field... newElements) {
+        public Builder elements(Field... newElements) {
             this.elements = List.of(newElements);
             return this;
         }
 
-        /** Returns the field. */
+        /** Builds the field. */
         public Field build() {
             return new Field(this);
         }
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/FieldType.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/FieldType.java
@@ -3,56 +3,56 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The types of a record's fields.
+ * The types of the fields of a record.
  *
  * @since 0.1.0
  */
 public enum FieldType {
-    /** A text that is not blank. */
-    TEXT("a text that is not blank") {
+    /** A string that is not blank. */
+    STRING("a text that is not blank") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isTextual() && !value.textValue().isBlank();
         }
     },
-    /** A whole number, not below 0. */
+    /** An integer that is 0 or more. */
     COUNT("a whole number, 0 or more") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isIntegralNumber() && value.canConvertToInt() && value.intValue() >= 0;
         }
     },
-    /** A multiple of something, above 1. */
-    MULTIPLE("a number above 1 and at most 100, such as 1.25") {
+    /** A factor above 1 and at most 100. */
+    MULTIPLE_ABOVE_1("a number above 1 and at most 100, such as 1.25") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isNumber() && value.doubleValue() > 1 && value.doubleValue() <= MAX_MULTIPLE;
         }
     },
-    /** A percentage above 100. */
+    /** An integer percentage above 100 and at most 10000. */
     PERCENT_ABOVE_100("a whole number above 100 and at most 10000, such as 125") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isIntegralNumber()
-                    && value.intValue() > WHOLE_PERCENT
-                    && value.intValue() <= WHOLE_PERCENT * MAX_MULTIPLE;
+                    && value.intValue() > HUNDRED_PERCENT
+                    && value.intValue() <= HUNDRED_PERCENT * MAX_MULTIPLE;
         }
     },
-    /** A share of a whole. */
+    /** A number from 0 to 1. */
     FRACTION("a number from 0 to 1, such as 0.1") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isNumber() && value.doubleValue() >= 0 && value.doubleValue() <= 1;
         }
     },
-    /** Yes or no. */
-    FLAG("true or false") {
+    /** A boolean. */
+    BOOLEAN("true or false") {
         @Override
         public boolean accepts(JsonNode value) {
             return value.isBoolean();
         }
     },
-    /** A class of requests. */
+    /** The name of a priority class of requests. */
     PRIORITY_CLASS("interactive, check or batch") {
         @Override
         public boolean accepts(JsonNode value) {
@@ -61,15 +61,15 @@
                             .isPresent();
         }
     },
-    /** A list of texts. */
-    TEXTS("a list of texts that are not blank") {
+    /** A list of strings that are not blank. */
+    STRING_LIST("a list of texts that are not blank") {
         @Override
         public boolean accepts(JsonNode value) {
-            return value.isArray() && allMatch(value, TEXT);
+            return value.isArray() && allMatch(value, STRING);
         }
     },
-    /** A list of objects, whose fields are checked one by one. */
-    OBJECTS("a list of objects") {
+    /** A list of objects; the fields of the objects are validated separately. */
+    OBJECT_LIST("a list of objects") {
         @Override
         public boolean accepts(JsonNode value) {
             if (!value.isArray()) {
@@ -84,7 +84,7 @@
         }
     };
 
-    private static final int WHOLE_PERCENT = 100;
+    private static final int HUNDRED_PERCENT = 100;
     private static final int MAX_MULTIPLE = 100;
 
     private final String expected;
@@ -93,7 +93,7 @@
         this.expected = expected;
     }
 
-    /** Returns what to write, for messages. */
+    /** Returns a description of the valid values, for messages. */
     public String expected() {
         return expected;
     }
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/Paths.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/JsonPaths.java
@@ -5,19 +5,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Reads and writes values by dotted paths.
+ * Reads, writes and removes values in a JSON tree by paths of field names, separated by dots.
  *
  * @since 0.1.0
  */
-final class Paths {
-    private Paths() {
+final class JsonPaths {
+    private JsonPaths() {
         // static methods only
     }
 
     static JsonNode read(JsonNode root, String path) {
         JsonNode node = root;
-        for (String step : path.split("\\.", -1)) {
-            node = node.path(step);
+        for (String fieldName : path.split("\\.", -1)) {
+            node = node.path(fieldName);
         }
         return node.isNull() ? MissingNode.getInstance() : node;
     }
@@ -26,9 +26,9 @@
         int lastDot = path.lastIndexOf('.');
         ObjectNode parent = root;
         if (lastDot >= 0) {
-            for (String step : path.substring(0, lastDot).split("\\.", -1)) {
-                JsonNode next = parent.get(step);
-                parent = next instanceof ObjectNode object ? object : parent.putObject(step);
+            for (String fieldName : path.substring(0, lastDot).split("\\.", -1)) {
+                JsonNode next = parent.get(fieldName);
+                parent = next instanceof ObjectNode object ? object : parent.putObject(fieldName);
             }
         }
         parent.set(path.substring(lastDot + 1), value);
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/SchemaConversion.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/SchemaConversion.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Moves specs between schema versions and the stored form.
+ * Converts specs between the schema versions and the stored form.
  *
  * @since 0.1.0
  */
@@ -15,40 +15,40 @@
     }
 
     /**
-     * Returns the stored spec after a write: each field that the writer's schema knows is taken from the writer, also
-     * where it left it out; every other field is kept.
+     * Returns the stored spec after a write. Fields of the writer's schema version are replaced, or removed if the
+     * writer omitted them. All other fields keep their stored value.
      *
-     * @param kind the kind of record
-     * @param version the writer's schema version
-     * @param written the writer's spec
-     * @param stored the spec stored so far, empty for a new record
+     * @param kind the kind of the record
+     * @param version the schema version that the writer used
+     * @param written the spec from the writer
+     * @param stored the stored spec before the write; empty for a new record
      */
     public static ObjectNode rewrite(RecordKind kind, SchemaVersion version, JsonNode written, ObjectNode stored) {
         ObjectNode result = stored.deepCopy();
         for (Field field : kind.fields(version)) {
-            JsonNode value = Paths.read(written, field.path());
+            JsonNode value = JsonPaths.read(written, field.path());
             if (value.isMissingNode()) {
-                Paths.remove(result, field.storedPath());
+                JsonPaths.remove(result, field.storedPath());
             } else {
-                Paths.write(result, field.storedPath(), field.toStored(value));
+                JsonPaths.write(result, field.storedPath(), field.toStored(value));
             }
         }
         return result;
     }
 
     /**
-     * Returns a stored spec as a schema version shows it.
+     * Returns a stored spec in the form of a schema version. Fields that this version does not define are left out.
      *
-     * @param kind the kind of record
-     * @param version the reader's schema version
+     * @param kind the kind of the record
+     * @param version the schema version that the reader asked for
      * @param stored the stored spec
      */
     public static ObjectNode view(RecordKind kind, SchemaVersion version, JsonNode stored) {
         ObjectNode result = JsonNodeFactory.instance.objectNode();
         for (Field field : kind.fields(version)) {
-            JsonNode value = Paths.read(stored, field.storedPath());
+            JsonNode value = JsonPaths.read(stored, field.storedPath());
             if (!value.isMissingNode()) {
-                Paths.write(result, field.path(), field.fromStored(value));
+                JsonPaths.write(result, field.path(), field.fromStored(value));
             }
         }
         return result;
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/SchemaVersion.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/SchemaVersion.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * The schema versions that records may be written under.
+ * The schema versions that records can be written in.
  *
  * @since 0.1.0
  */
 public enum SchemaVersion {
     /** The first version. */
     V1("radishpass/v1"),
-    /** The second version; records are stored under it. */
+    /** The second version, whose field paths and value forms are also those of stored records. */
     V2("radishpass/v2");
 
     private final String wireName;
@@ -19,13 +19,13 @@
         this.wireName = wireName;
     }
 
-    /** Returns the value of {@code apiVersion} that stands for this version. */
+    /** Returns the value of {@code apiVersion} in a record of this version. */
     public String wireName() {
         return wireName;
     }
 
     /**
-     * Finds a version by its name.
+     * Returns the version with a name, or nothing if there is none.
      *
      * @param name the value of {@code apiVersion}
      */
--- a/radishpass-records/src/main/java/org/radishpass/records/schema/package-info.java
+++ b/radishpass-records/src/main/java/org/radishpass/records/schema/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The fields of each kind and schema version of record, and how versions map to each other.
+ * The schemas of configuration records: fields of each kind and version, validation, and conversion to the stored form.
  *
  * @since 0.1.0
  */
--- a/radishpass-records/src/test/java/org/radishpass/records/ConfigurationTest.java
+++ b/radishpass-records/src/test/java/org/radishpass/records/ConfigurationTest.java
@@ -10,19 +10,22 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.core.load.LoadBound;
 
-/** Checks the configuration at a revision. */
+/** Tests how a configuration is built from records and changes. */
 final class ConfigurationTest {
     @Test
-    void changesMustFollowWithoutAGap() {
-        Configuration one = Configuration.empty().after(List.of(change(1, "Model", "atlas", false)));
+    void afterRejectsARevisionGap() {
+        Configuration configuration = Configuration.empty().after(List.of(change(1, "Model", "atlas", false)));
 
-        assertThrows(IllegalArgumentException.class, () -> one.after(List.of(change(3, "Model", "other", false))));
-        assertThat(one.after(List.of(change(2, "Model", "other", false))).models())
+        assertThrows(
+                IllegalArgumentException.class, () -> configuration.after(List.of(change(3, "Model", "other", false))));
+        assertThat(configuration
+                        .after(List.of(change(2, "Model", "other", false)))
+                        .models())
                 .hasSize(2);
     }
 
     @Test
-    void aDeletedRecordIsGoneButRemembered() {
+    void deletedRecordLeavesATombstone() {
         Configuration configuration = Configuration.empty()
                 .after(List.of(change(1, "Model", "atlas", false), change(2, "Model", "atlas", true)));
 
@@ -31,7 +34,7 @@
     }
 
     @Test
-    void aKindThatThisProgramDoesNotKnowIsCarriedAlong() {
+    void recordOfUnknownKindIsKept() {
         Configuration configuration = Configuration.empty().after(List.of(change(1, "Novelty", "x", false)));
 
         assertThat(configuration.revision()).isEqualTo(1);
@@ -39,7 +42,7 @@
     }
 
     @Test
-    void aWorkspaceWithoutABoundHasTheFleets() {
+    void workspaceWithoutLoadBoundUsesFleetLoadBound() {
         ObjectNode fleet = JsonNodeFactory.instance.objectNode().put("loadBound", 1.4);
         Configuration configuration = Configuration.of(
                 2,
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void aModelIsFoundWithItsAdapters() {
+    void poolOfResolvesModelsAndTheirAdapters() {
         ObjectNode spec = JsonNodeFactory.instance.objectNode().put("version", "3");
         spec.putArray("adapters").add("passbook");
         Configuration configuration = Configuration.of(1, List.of(new StoredRecord("Model", "atlas", 1, false, spec)));
--- a/radishpass-records/src/test/java/org/radishpass/records/KeyHashTest.java
+++ b/radishpass-records/src/test/java/org/radishpass/records/KeyHashTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks that keys are known by their salted hash alone. */
+/** Tests the salted hash of API keys. */
 final class KeyHashTest {
     @Test
-    void onlyTheRightSecretMatches() {
+    void onlyTheHashedSecretMatches() {
         KeyHash hash = KeyHash.of("salt", "secret");
 
         assertThat(hash.matches("secret")).isTrue();
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void theHashIsNotShown() {
+    void toStringHidesTheHash() {
         KeyHash hash = KeyHash.of("salt", "secret");
 
         assertThat(hash.toString()).doesNotContain(hash.sha256());
--- a/radishpass-records/src/test/java/org/radishpass/records/RecordFilesTest.java
+++ b/radishpass-records/src/test/java/org/radishpass/records/RecordFilesTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks the reading of record files and what it says of wrong ones. */
+/** Tests the parser for record files and its error messages. */
 final class RecordFilesTest {
     private static final String KEYS = "{keys: [{salt: s, sha256: h}]";
 
     @Test
-    void severalDocumentsAreRead() {
+    void readsSeveralDocumentsOfOneText() {
         RecordFiles.ReadResult result = RecordFiles.read(
                 "f",
                 workspace("radishpass/v2", KEYS + "}") + "\n---\n"
@@ -38,7 +38,7 @@
                 "radishpass/v2 | {keys: [{salt: s}]} | spec.keys[0].sha256 is missing",
                 "radishpass/v2 | " + KEYS + ", defaultClass: urgent} | write interactive, check or batch",
             })
-    void aWrongRecordIsNamedWithWhatToWriteInstead(String version, String spec, String expected) {
+    void invalidRecordIsReportedWithSourceAndExpectedValue(String version, String spec, String expected) {
         RecordFiles.ReadResult result = RecordFiles.read("file.yaml", workspace(version, spec));
 
         assertThat(result.faults()).hasSize(1);
@@ -47,15 +47,15 @@
     }
 
     @Test
-    void textThatIsNotYamlIsAFaultWithItsLine() {
-        List<String> faults = RecordFiles.read("file.yaml", "a: 1\nb: [\n").faults();
+    void malformedYamlIsReportedWithSource() {
+        List<String> errors = RecordFiles.read("file.yaml", "a: 1\nb: [\n").faults();
 
-        assertThat(faults).hasSize(1);
-        assertThat(faults.get(0)).startsWith("file.yaml:");
+        assertThat(errors).hasSize(1);
+        assertThat(errors.get(0)).startsWith("file.yaml:");
     }
 
     @Property(tries = 500, seed = "51")
-    void anyTextIsReadOrFoundFaultyButNeverThrows(@ForAll String text) {
+    void arbitraryTextYieldsRecordsOrErrorsButNoException(@ForAll String text) {
         RecordFiles.ReadResult result = RecordFiles.read("f", text);
 
         assertThat(result.documents().isEmpty() || result.faults().isEmpty()).isTrue();
--- a/radishpass-records/src/test/java/org/radishpass/records/SchemaVersionsTest.java
+++ b/radishpass-records/src/test/java/org/radishpass/records/SchemaVersionsTest.java
@@ -9,47 +9,47 @@
 import org.radishpass.records.schema.SchemaConversion;
 import org.radishpass.records.schema.SchemaVersion;
 
-/** Checks that writers under different schema versions keep each other's fields. */
+/** Tests that writers under different schema versions preserve each other's fields. */
 final class SchemaVersionsTest {
     private static final String STORED = "{'keys':[{'salt':'s','sha256':'h'}],'limits':{'inFlight':9,'queued':5},"
             + "'placement':{'loadBound':1.5,'spread':3},'later':{'unknown':true}}";
 
     @Test
-    void anOldWriterKeepsTheNewVersionsFieldsAndThoseOfVersionsToCome() throws JsonProcessingException {
+    void writeUnderV1KeepsFieldsThatV1DoesNotKnow() throws JsonProcessingException {
         ObjectNode written = json("{'keys':[{'salt':'t','sha256':'i'}],'maxInFlight':7,'boundPercent':130}");
 
-        ObjectNode after = SchemaConversion.rewrite(RecordKind.WORKSPACE, SchemaVersion.V1, written, json(STORED));
+        ObjectNode result = SchemaConversion.rewrite(RecordKind.WORKSPACE, SchemaVersion.V1, written, json(STORED));
 
-        assertThat(after)
+        assertThat(result)
                 .isEqualTo(json("{'keys':[{'salt':'t','sha256':'i'}],'limits':{'inFlight':7,'queued':5},"
                         + "'placement':{'loadBound':1.3,'spread':3},'later':{'unknown':true}}"));
     }
 
     @Test
-    void aFieldThatTheWriterKnowsAndLeavesOutIsRemoved() throws JsonProcessingException {
+    void knownFieldThatTheWriterOmitsIsRemoved() throws JsonProcessingException {
         ObjectNode written = json("{'keys':[{'salt':'s','sha256':'h'}]}");
 
-        ObjectNode after = SchemaConversion.rewrite(RecordKind.WORKSPACE, SchemaVersion.V1, written, json(STORED));
+        ObjectNode result = SchemaConversion.rewrite(RecordKind.WORKSPACE, SchemaVersion.V1, written, json(STORED));
 
-        assertThat(after.at("/limits/inFlight").isMissingNode()).isTrue();
-        assertThat(after.at("/limits/queued").asInt()).isEqualTo(5);
+        assertThat(result.at("/limits/inFlight").isMissingNode()).isTrue();
+        assertThat(result.at("/limits/queued").asInt()).isEqualTo(5);
     }
 
     @Test
-    void theOldVersionShowsTheNewOnesValuesInItsOwnForm() throws JsonProcessingException {
-        ObjectNode shown = SchemaConversion.view(RecordKind.WORKSPACE, SchemaVersion.V1, json(STORED));
+    void v1ViewConvertsStoredValues() throws JsonProcessingException {
+        ObjectNode view = SchemaConversion.view(RecordKind.WORKSPACE, SchemaVersion.V1, json(STORED));
 
-        assertThat(shown).isEqualTo(json("{'keys':[{'salt':'s','sha256':'h'}],'maxInFlight':9,'boundPercent':150}"));
+        assertThat(view).isEqualTo(json("{'keys':[{'salt':'s','sha256':'h'}],'maxInFlight':9,'boundPercent':150}"));
     }
 
     @Test
-    void whatEitherVersionShowsCanBeWrittenBackWithoutAChange() throws JsonProcessingException {
+    void writingBackAViewChangesNothing() throws JsonProcessingException {
         for (SchemaVersion version : SchemaVersion.values()) {
-            ObjectNode shown = SchemaConversion.view(RecordKind.WORKSPACE, version, json(STORED));
+            ObjectNode view = SchemaConversion.view(RecordKind.WORKSPACE, version, json(STORED));
 
-            ObjectNode after = SchemaConversion.rewrite(RecordKind.WORKSPACE, version, shown, json(STORED));
+            ObjectNode result = SchemaConversion.rewrite(RecordKind.WORKSPACE, version, view, json(STORED));
 
-            assertThat(after).isEqualTo(json(STORED));
+            assertThat(result).isEqualTo(json(STORED));
         }
     }
 
