--- a/radishpass-controller/src/main/java/org/radishpass/controller/Controller.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/Controller.java
@@ -17,24 +17,24 @@
 import reactor.netty.DisposableServer;
 
 /**
- * A running controller.
+ * A controller process with its HTTP server.
  *
  * @since 0.1.0
  */
 public final class Controller implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final int OK = 200;
-    private static final Duration STOP_PATIENCE = Duration.ofSeconds(3);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(3);
 
     private final HttpRuntime runtime = new HttpRuntime("controller", 1);
     private final ControllerLoop loop;
     private final DisposableServer server;
 
     /**
-     * Starts a controller.
+     * Starts the reconciliation loop and the HTTP server, and writes the ports file if one is configured.
      *
-     * @param settings its settings, checked
-     * @param clock tells the time
+     * @param settings the validated settings of the controller
+     * @param clock the source of the wall-clock time
      * @throws IOException if the ports file cannot be written
      */
     public Controller(ControllerSettings settings, Clock clock) throws IOException {
@@ -72,15 +72,15 @@
         LOG.info("controller {} started", settings.id());
     }
 
-    /** Stops: gives the leases back, so that others need not wait them out. */
+    /** Releases the leases, so that other controllers can acquire them at once, and closes this controller. */
     public void stop() {
-        loop.giveBack().block(STOP_PATIENCE);
+        loop.releaseLeases().block(STOP_TIMEOUT);
         close();
     }
 
     @Override
     public void close() {
-        server.disposeNow(STOP_PATIENCE);
+        server.disposeNow(STOP_TIMEOUT);
         loop.close();
         runtime.close();
     }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/ControllerMain.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/ControllerMain.java
@@ -6,24 +6,24 @@
 import org.radishpass.runtime.settings.StopSignal;
 
 /**
- * The controller's program.
+ * The main class of the controller process.
  *
  * @since 0.1.0
  */
 public final class ControllerMain {
     private ControllerMain() {
-        // main only
+        // not instantiated
     }
 
     /**
-     * Runs a controller until it is told to stop.
+     * Runs a controller until the process receives a stop signal.
      *
-     * @param arguments the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String... arguments) {
         new Program<>(
                         "radishpass-controller",
-                        "brings the endpoints of a data centre to what the records say",
+                        "reconciles the endpoints of a data centre with the configuration records",
                         new ControllerSettings(),
                         ControllerMain::run)
                 .runAndExit(arguments);
--- a/radishpass-controller/src/main/java/org/radishpass/controller/ControllerSettings.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/ControllerSettings.java
@@ -6,23 +6,26 @@
 import org.radishpass.runtime.settings.VmSettings;
 
 /**
- * The settings of a controller.
+ * The command-line settings of a controller.
  *
  * @since 0.1.0
  */
 public final class ControllerSettings extends VmSettings {
-    private static final int LEAST_PAUSE_MILLIS = 50;
-    private static final int MOST_PAUSE_MILLIS = 60_000;
+    private static final int MIN_ROUND_MILLIS = 50;
+    private static final int MAX_ROUND_MILLIS = 60_000;
 
-    @Option(name = "--round-millis", metaVar = "MS", usage = "pause between two rounds of comparing and ordering")
+    @Option(
+            name = "--round-millis",
+            metaVar = "MS",
+            usage = "interval between two rounds of comparing engines with records and sending orders")
     private int roundMillis = 1_000;
 
     @Override
     protected void addFaults(List<String> faults) {
-        SettingChecks.range("--round-millis", roundMillis, LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS, faults);
+        SettingChecks.range("--round-millis", roundMillis, MIN_ROUND_MILLIS, MAX_ROUND_MILLIS, faults);
     }
 
-    /** Returns the pause between rounds, in milliseconds. */
+    /** Returns the interval between two reconciliation rounds in milliseconds. */
     public int roundMillis() {
         return roundMillis;
     }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
@@ -20,37 +20,39 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The rounds of a controller: configuration, list, leases, engines.
+ * The reconciliation loop of a controller.
+ *
+ * <p>Each round refreshes the configuration and the VM list, renews the leases, and then reconciles the engines.
  *
  * @since 0.1.0
  */
 public final class ControllerLoop implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerLoop.class);
-    private static final Duration PLATFORM_PATIENCE = Duration.ofSeconds(2);
+    private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
 
     private final ControlThread control = new ControlThread("control");
     private final ControllerSettings settings;
     private final ConfigurationStore store;
     private final VmListClient vmList;
     private final ShareLeases leases;
-    private final Convergence convergence;
+    private final EngineReconciler reconciler;
     private Configuration configuration = Configuration.empty();
     private List<VmListing> listings = List.of();
     private boolean stopping;
 
     /**
-     * Creates the loop.
+     * Creates the loop without starting it.
      *
-     * @param settings the controller's settings
-     * @param runtime event loops and clients
-     * @param metrics where metrics are kept
-     * @param clock tells the time
+     * @param settings the settings of the controller
+     * @param runtime the event loops and HTTP clients
+     * @param metrics the registry that metrics are added to
+     * @param clock the source of the wall-clock time
      */
     public ControllerLoop(ControllerSettings settings, HttpRuntime runtime, MeterRegistry metrics, Clock clock) {
         this.settings = settings;
-        HttpTableService tables = new HttpTableService(runtime.client(), settings.platform(), PLATFORM_PATIENCE);
+        HttpTableService tables = new HttpTableService(runtime.client(), settings.platform(), PLATFORM_TIMEOUT);
         this.store = new ConfigurationStore(tables);
-        this.vmList = new VmListClient(runtime.client(), settings.platform(), settings.dataCentre(), PLATFORM_PATIENCE);
+        this.vmList = new VmListClient(runtime.client(), settings.platform(), settings.dataCentre(), PLATFORM_TIMEOUT);
         String holder = settings.id() + '.' + Long.toString(clock.millis(), Character.MAX_RADIX);
         this.leases = new ShareLeases(
                 holder,
@@ -59,17 +61,17 @@
                 LeaseRules.DEFAULT,
                 clock,
                 System::nanoTime);
-        this.convergence = new Convergence(
+        this.reconciler = new EngineReconciler(
                 settings.dataCentre(), leases, new EngineClient(runtime.client()), control, metrics, clock);
     }
 
-    /** Starts the rounds. */
+    /** Runs the first round and schedules the following ones. */
     public void start() {
-        control.run(this::round);
-        control.every(Duration.ofMillis(settings.roundMillis()), this::round);
+        control.run(this::runRound);
+        control.every(Duration.ofMillis(settings.roundMillis()), this::runRound);
     }
 
-    /** Returns what the controller holds and what differs from the records. */
+    /** Returns the held shares and the engines that diverge from the configuration records, for the status response. */
     public Mono<Map<String, Object>> status() {
         return control.call(() -> {
             Map<String, Object> status = new LinkedHashMap<>();
@@ -77,23 +79,23 @@
             status.put("dataCentre", settings.dataCentre().name());
             status.put("revision", configuration.revision());
             status.put("shares", leases.heldShares());
-            status.put("divergences", convergence.divergences());
+            status.put("divergences", reconciler.divergences());
             return status;
         });
     }
 
-    /** Returns the newest orders. */
+    /** Returns the most recent orders, newest first. */
     public Mono<List<Map<String, Object>>> history() {
-        return control.call(convergence::history);
+        return control.call(reconciler::history);
     }
 
-    /** Stops ordering and gives the leases back. */
-    public Mono<Void> giveBack() {
+    /** Stops the rounds and releases the leases. */
+    public Mono<Void> releaseLeases() {
         return control.call(() -> {
                     stopping = true;
                     return true;
                 })
-                .then(leases.giveBack());
+                .then(leases.releaseAll());
     }
 
     @Override
@@ -101,7 +103,7 @@
         control.close();
     }
 
-    private void round() {
+    private void runRound() {
         if (stopping) {
             return;
         }
@@ -109,23 +111,30 @@
         vmList.list()
                 .publishOn(control.scheduler())
                 .subscribe(
-                        newer -> listings = newer.isEmpty() ? listings : newer,
-                        error -> LOG.debug("the VM list did not answer: {}", error.getMessage()));
-        leases.round()
+                        fetched -> listings = fetched.isEmpty() ? listings : fetched,
+                        error -> LOG.debug(
+                                "the VM list could not be fetched, the previous one stays in use: {}",
+                                error.getMessage()));
+        leases.runRound()
                 .publishOn(control.scheduler())
                 .subscribe(
-                        done -> {},
-                        error -> LOG.warn("the leases could not be kept: {}", error.getMessage()),
-                        () -> convergence.round(configuration, listings));
+                        ignored -> {},
+                        error -> LOG.warn(
+                                "the leases could not be renewed, no engine is reconciled in this round: {}",
+                                error.getMessage()),
+                        () -> reconciler.reconcile(configuration, listings));
     }
 
     private void refreshConfiguration() {
-        Mono<Configuration> newer = configuration.revision() == 0
+        Mono<Configuration> fetched = configuration.revision() == 0
                 ? store.snapshot()
                 : store.changesAfter(configuration.revision()).map(configuration::after);
-        newer.publishOn(control.scheduler())
+        fetched.publishOn(control.scheduler())
                 .subscribe(
-                        found -> configuration = found.revision() > configuration.revision() ? found : configuration,
-                        error -> LOG.debug("the store did not answer: {}", error.getMessage()));
+                        received -> configuration =
+                                received.revision() > configuration.revision() ? received : configuration,
+                        error -> LOG.debug(
+                                "the configuration could not be refreshed, the previous one stays in use: {}",
+                                error.getMessage()));
     }
 }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineClient.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineClient.java
@@ -12,13 +12,13 @@
 import reactor.netty.http.client.HttpClient;
 
 /**
- * Reads engines' status and sends them orders.
+ * HTTP client that reads the status of engines and sends orders to them.
  *
  * @since 0.1.0
  */
 final class EngineClient {
-    private static final Duration STATUS_PATIENCE = Duration.ofSeconds(1);
-    private static final Duration ORDER_PATIENCE = Duration.ofSeconds(30);
+    private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(30);
     private static final int OK = 200;
 
     private final HttpClient client;
@@ -27,17 +27,17 @@
         this.client = client;
     }
 
-    /** Reads an engine's status; it ends in an error when there is none. */
+    /** Reads the status of an engine. The result is an error if the engine gives no valid answer in time. */
     Mono<EngineStatus> status(VmListing engine) {
         return client.get()
                 .uri("http://" + engine.address() + "/v1/status")
                 .responseSingle((response, content) -> content.asByteArray())
-                .timeout(STATUS_PATIENCE)
+                .timeout(STATUS_TIMEOUT)
                 .map(bytes -> EngineStatus.of(HttpJson.parse(bytes)));
     }
 
-    /** Sends an order, unless at the last moment it may no longer be sent. */
-    Mono<Integer> order(VmListing engine, Order order, long epoch, long revision, BooleanSupplier maySend) {
+    /** Sends an order if {@code maySend} still holds immediately before the write, and otherwise returns an error. */
+    Mono<Integer> sendOrder(VmListing engine, Order order, long epoch, long revision, BooleanSupplier maySend) {
         byte[] body = HttpJson.bytes(
                 Map.of("type", order.type().wireName(), "pool", order.pool(), "epoch", epoch, "revision", revision));
         return client.post()
@@ -50,7 +50,7 @@
                 })
                 .responseSingle((response, content) ->
                         content.asByteArray().thenReturn(response.status().code()))
-                .timeout(ORDER_PATIENCE)
+                .timeout(ORDER_TIMEOUT)
                 .flatMap(code ->
                         code == OK ? Mono.just(code) : Mono.error(new IOException("the engine answered " + code)));
     }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineReconciler.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineReconciler.java
@@ -27,18 +27,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the engines of the held shares with the records and sends the orders that bring them together.
+ * Compares the engines of the held shares with the configuration records and sends orders to engines that diverge.
  *
- * <p>One order at a time to each engine. Confined to the control thread.
+ * <p>At most one order to an engine is in progress at a time. Instances are confined to the control thread.
  *
  * @since 0.1.0
  */
-final class Convergence {
-    private static final Logger LOG = LoggerFactory.getLogger(Convergence.class);
-    private static final int HISTORY = 500;
+final class EngineReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(EngineReconciler.class);
+    private static final int MAX_HISTORY_ENTRIES = 500;
 
     private final Map<String, Divergence> divergences = new HashMap<>();
-    private final Set<String> busy = new HashSet<>();
+    private final Set<String> enginesWithPendingCall = new HashSet<>();
     private final Deque<Map<String, Object>> history = new ArrayDeque<>();
     private final DataCentre dataCentre;
     private final ShareLeases leases;
@@ -47,7 +47,7 @@
     private final MeterRegistry metrics;
     private final Clock clock;
 
-    Convergence(
+    EngineReconciler(
             DataCentre dataCentre,
             ShareLeases leases,
             EngineClient engines,
@@ -62,67 +62,69 @@
         this.clock = clock;
     }
 
-    /** Looks at every engine of the held shares and orders what is needed. */
-    void round(Configuration configuration, Collection<VmListing> listings) {
-        List<VmListing> own = listings.stream()
+    /** Starts a check of each engine in the held shares, and sends an order to each engine that needs one. */
+    void reconcile(Configuration configuration, Collection<VmListing> listings) {
+        List<VmListing> ownEngines = listings.stream()
                 .filter(vm -> vm.kind() == VmKind.ENGINE && vm.dataCentre().equals(dataCentre))
                 .filter(vm -> !vm.leaving())
                 .toList();
-        if (configuration.revision() == 0 || own.isEmpty()) {
+        if (configuration.revision() == 0 || ownEngines.isEmpty()) {
             return;
         }
         Map<String, EndpointGoal> goals = CapacityPlan.of(
-                demands(configuration), own.stream().map(VmListing::id).toList());
+                demands(configuration), ownEngines.stream().map(VmListing::id).toList());
         divergences.keySet().retainAll(goals.keySet());
-        for (VmListing engine : own) {
+        for (VmListing engine : ownEngines) {
             EndpointGoal goal = goals.get(engine.id());
-            if (goal != null && leases.epochFor(engine.id()).isPresent() && !busy.contains(engine.id())) {
-                compare(configuration, engine, goal);
+            if (goal != null
+                    && leases.epochFor(engine.id()).isPresent()
+                    && !enginesWithPendingCall.contains(engine.id())) {
+                checkEngine(configuration, engine, goal);
             }
         }
     }
 
-    /** Returns what is known of the engines that differ from the records. */
+    /** Returns the endpoint, cause and action of each engine that diverges from the records. */
     List<Map<String, Object>> divergences() {
-        List<Map<String, Object>> all = new ArrayList<>();
+        List<Map<String, Object>> entries = new ArrayList<>();
         divergences.forEach((id, divergence) ->
-                all.add(Map.of("endpoint", id, "cause", divergence.cause(), "action", divergence.action())));
-        return all;
+                entries.add(Map.of("endpoint", id, "cause", divergence.cause(), "action", divergence.action())));
+        return entries;
     }
 
-    /** Returns the newest orders, the newest first. */
+    /** Returns the most recent orders, newest first. */
     List<Map<String, Object>> history() {
         return List.copyOf(history);
     }
 
-    private void compare(Configuration configuration, VmListing engine, EndpointGoal goal) {
-        busy.add(engine.id());
+    private void checkEngine(Configuration configuration, VmListing engine, EndpointGoal goal) {
+        enginesWithPendingCall.add(engine.id());
         engines.status(engine)
                 .publishOn(control.scheduler())
-                .subscribe(status -> act(configuration, engine, goal, status), error -> {
-                    busy.remove(engine.id());
+                .subscribe(status -> sendNextOrder(configuration, engine, goal, status), error -> {
+                    enginesWithPendingCall.remove(engine.id());
                     divergences.put(
                             engine.id(), new Divergence("it does not answer: " + error.getMessage(), "asking again"));
                 });
     }
 
-    private void act(Configuration configuration, VmListing engine, EndpointGoal goal, EngineStatus status) {
-        var next = OrderPlan.next(goal, status.state(), status.pools(), status.running());
+    private void sendNextOrder(Configuration configuration, VmListing engine, EndpointGoal goal, EngineStatus status) {
+        var nextOrder = OrderPlan.next(goal, status.state(), status.pools(), status.running());
         OptionalLong epoch = leases.epochFor(engine.id());
-        if (next.isEmpty() || epoch.isEmpty()) {
-            busy.remove(engine.id());
-            if (next.isEmpty()) {
+        if (nextOrder.isEmpty() || epoch.isEmpty()) {
+            enginesWithPendingCall.remove(engine.id());
+            if (nextOrder.isEmpty()) {
                 divergences.remove(engine.id());
             }
             return;
         }
-        Order order = next.get();
+        Order order = nextOrder.get();
         divergences.put(
                 engine.id(),
                 new Divergence(
                         "it serves " + status.pools() + " and is " + status.state(),
                         order.type().wireName() + ' ' + order.pool()));
-        engines.order(
+        engines.sendOrder(
                         engine,
                         order,
                         epoch.getAsLong(),
@@ -130,13 +132,13 @@
                         () -> leases.epochFor(engine.id()).equals(epoch))
                 .publishOn(control.scheduler())
                 .subscribe(
-                        code -> finished(configuration, engine, order, epoch.getAsLong(), "done"),
-                        error -> finished(
+                        code -> recordOutcome(configuration, engine, order, epoch.getAsLong(), "done"),
+                        error -> recordOutcome(
                                 configuration, engine, order, epoch.getAsLong(), String.valueOf(error.getMessage())));
     }
 
-    private void finished(Configuration configuration, VmListing engine, Order order, long epoch, String outcome) {
-        busy.remove(engine.id());
+    private void recordOutcome(Configuration configuration, VmListing engine, Order order, long epoch, String outcome) {
+        enginesWithPendingCall.remove(engine.id());
         metrics.counter(
                         "radishpass.orders",
                         "type",
@@ -144,7 +146,7 @@
                         "done",
                         String.valueOf("done".equals(outcome)))
                 .increment();
-        LOG.info("order {} {} to {}: {}", order.type(), order.pool(), engine.id(), outcome);
+        LOG.info("order {} (pool '{}') for engine {} ended with: {}", order.type(), order.pool(), engine.id(), outcome);
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("at", clock.instant().toString());
         entry.put("endpoint", engine.id());
@@ -154,7 +156,7 @@
         entry.put("epoch", epoch);
         entry.put("outcome", outcome);
         history.addFirst(entry);
-        if (history.size() > HISTORY) {
+        if (history.size() > MAX_HISTORY_ENTRIES) {
             history.removeLast();
         }
     }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineStatus.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineStatus.java
@@ -7,11 +7,11 @@
 import org.radishpass.core.fleet.EndpointState;
 
 /**
- * What an engine says of itself.
+ * The status that an engine reports.
  *
- * @param state the stage of its life
- * @param pools the pools that it serves
- * @param running the requests that it runs
+ * @param state the lifecycle state; {@code JOINING} if the engine reports an unknown one
+ * @param pools the pools that the engine serves
+ * @param running the number of requests in progress
  * @since 0.1.0
  */
 record EngineStatus(EndpointState state, Set<String> pools, int running) {
@@ -19,10 +19,12 @@
         Set<String> pools = new HashSet<>();
         json.path("pools").forEach(pool -> pools.add(pool.asText()));
         return new EngineStatus(
-                state(json.path("state").asText()), pools, json.path("running").asInt());
+                parseState(json.path("state").asText()),
+                pools,
+                json.path("running").asInt());
     }
 
-    private static EndpointState state(String name) {
+    private static EndpointState parseState(String name) {
         for (EndpointState state : EndpointState.values()) {
             if (state.name().equals(name.toUpperCase(Locale.ROOT))) {
                 return state;
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
@@ -26,28 +26,31 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The leases of a data centre's shares: which endpoints this controller may give orders to.
+ * The leases that decide which endpoints of a data centre this controller may send orders to.
  *
- * <p>All leases that are due are renewed in one transaction. A lost answer is resolved by reading back in the next
- * round: until then the lease counts from the last request whose answer came. Changed on the control thread alone; whether
- * an order may be sent can be asked from any.
+ * <p>The endpoints are divided into shares by the hash of their id, and each share has one lease. Each acquisition
+ * increases the epoch of the lease, which orders carry as a fencing token.
+ *
+ * <p>All leases that are due are renewed in one transaction. If the reply to a renewal is lost, the lease still runs
+ * from the last renewal that was confirmed, and the next round reads the stored state again. Instances are modified on
+ * the control thread only; {@link #epochFor} may be called from any thread.
  *
  * @since 0.1.0
  */
 final class ShareLeases {
-    /** The shares of a data centre's endpoints. */
-    static final int SHARES = 4;
+    /** The number of shares that the endpoints of a data centre are divided into. */
+    static final int SHARE_COUNT = 4;
 
     private static final Logger LOG = LoggerFactory.getLogger(ShareLeases.class);
-    private static final String PREFIX = "lease/";
+    private static final String KEY_PREFIX = "lease/";
 
-    private final Map<Integer, Held> held = new ConcurrentHashMap<>();
+    private final Map<Integer, HeldLease> heldLeases = new ConcurrentHashMap<>();
     private final String holder;
     private final DataCentre dataCentre;
     private final TableService tables;
     private final LeaseRules rules;
     private final Clock clock;
-    private final LongSupplier nanos;
+    private final LongSupplier nanoTime;
 
     ShareLeases(
             String holder,
@@ -55,112 +58,113 @@
             TableService tables,
             LeaseRules rules,
             Clock clock,
-            LongSupplier nanos) {
+            LongSupplier nanoTime) {
         this.holder = holder;
         this.dataCentre = dataCentre;
         this.tables = tables;
         this.rules = rules;
         this.clock = clock;
-        this.nanos = nanos;
+        this.nanoTime = nanoTime;
     }
 
-    /** Returns the share that an endpoint belongs to. */
+    /** Returns the number of the share that an endpoint belongs to, from 0. */
     static int shareOf(String endpointId) {
-        return (int) Math.floorMod(Rendezvous.hash(endpointId), (long) SHARES);
+        return (int) Math.floorMod(Rendezvous.hash(endpointId), (long) SHARE_COUNT);
     }
 
-    /** Returns the fencing number with which an order may be sent now, if one may. */
+    /** Returns the epoch to send with an order to an endpoint, or nothing if no order may be sent now. */
     OptionalLong epochFor(String endpointId) {
-        Held lease = held.get(shareOf(endpointId));
-        if (lease == null || !rules.mayOrder(lease.askedAtNanos(), nanos.getAsLong())) {
+        HeldLease lease = heldLeases.get(shareOf(endpointId));
+        if (lease == null || !rules.mayOrder(lease.requestedAtNanos(), nanoTime.getAsLong())) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(lease.epoch());
     }
 
-    /** Returns the shares that are held, whether or not there is still time to order. */
+    /** Returns the numbers of all held shares, including those whose lease is too close to its end to send orders. */
     Set<Integer> heldShares() {
-        return Set.copyOf(held.keySet());
+        return Set.copyOf(heldLeases.keySet());
     }
 
-    /** Renews what is due, takes what is free and gives up what is more than a fair part. */
-    Mono<Void> round() {
-        return tables.transact(readAll()).flatMap(result -> {
+    /** Renews leases that are due and acquires free ones, up to an equal part of the shares for each controller. */
+    Mono<Void> runRound() {
+        return tables.transact(readAllTransaction()).flatMap(result -> {
             if (!(result instanceof TableResult.Committed committed)) {
                 return Mono.empty();
             }
-            return write(committed.rows());
+            return acquireAndRenew(committed.rows());
         });
     }
 
-    /** Gives all leases back, so that others need not wait them out. */
-    Mono<Void> giveBack() {
-        return tables.transact(readAll()).flatMap(result -> {
+    /** Releases all leases, so that other controllers can acquire them before they expire. */
+    Mono<Void> releaseAll() {
+        return tables.transact(readAllTransaction()).flatMap(result -> {
             if (!(result instanceof TableResult.Committed committed)) {
                 return Mono.empty();
             }
-            TableTransaction.Builder write = TableTransaction.builder();
-            for (int share = 0; share < SHARES; share++) {
+            TableTransaction.Builder writes = TableTransaction.builder();
+            for (int share = 0; share < SHARE_COUNT; share++) {
                 TableRow row = committed.rows().get(share);
                 Lease lease = lease(row);
                 if (lease.holder().equals(holder)) {
-                    write.check(row.key(), row.version());
-                    write.put(row.key(), json(new Lease("", lease.epoch(), lease.deadline())));
+                    writes.check(row.key(), row.version());
+                    writes.put(row.key(), json(new Lease("", lease.epoch(), lease.deadline())));
                 }
             }
-            held.clear();
-            TableTransaction transaction = write.build();
+            heldLeases.clear();
+            TableTransaction transaction = writes.build();
             return transaction.writing() ? tables.transact(transaction).then() : Mono.empty();
         });
     }
 
-    private TableTransaction readAll() {
-        TableTransaction.Builder read = TableTransaction.builder();
-        for (int share = 0; share < SHARES; share++) {
-            read.read(key(share));
+    private TableTransaction readAllTransaction() {
+        TableTransaction.Builder reads = TableTransaction.builder();
+        for (int share = 0; share < SHARE_COUNT; share++) {
+            reads.read(key(share));
         }
-        return read.build();
+        return reads.build();
     }
 
-    private Mono<Void> write(List<TableRow> rows) {
+    private Mono<Void> acquireAndRenew(List<TableRow> rows) {
         Instant now = clock.instant();
-        long askedAt = nanos.getAsLong();
-        int fairPart = fairPart(rows, now);
-        TableTransaction.Builder write = TableTransaction.builder();
-        Map<Integer, Held> wanted = new HashMap<>();
-        for (int share = 0; share < SHARES; share++) {
+        long requestedAt = nanoTime.getAsLong();
+        int maxShares = maxSharesPerController(rows, now);
+        TableTransaction.Builder writes = TableTransaction.builder();
+        Map<Integer, HeldLease> requestedLeases = new HashMap<>();
+        for (int share = 0; share < SHARE_COUNT; share++) {
             TableRow row = rows.get(share);
             Lease lease = lease(row);
-            boolean ours = lease.holder().equals(holder);
-            if (!ours) {
-                held.remove(share);
+            boolean isHolder = lease.holder().equals(holder);
+            if (!isHolder) {
+                heldLeases.remove(share);
             }
-            if (wanted(lease, ours, share, wanted.size(), fairPart, now, askedAt)) {
-                long epoch = ours && held.containsKey(share) ? lease.epoch() : lease.epoch() + 1;
-                write.check(row.key(), row.version());
-                write.put(row.key(), json(new Lease(holder, epoch, rules.deadlineFrom(now))));
-                wanted.put(share, new Held(epoch, askedAt));
+            if (shouldAcquireOrRenew(lease, isHolder, share, requestedLeases.size(), maxShares, now, requestedAt)) {
+                long epoch = isHolder && heldLeases.containsKey(share) ? lease.epoch() : lease.epoch() + 1;
+                writes.check(row.key(), row.version());
+                writes.put(row.key(), json(new Lease(holder, epoch, rules.deadlineFrom(now))));
+                requestedLeases.put(share, new HeldLease(epoch, requestedAt));
             }
         }
-        TableTransaction transaction = write.build();
+        TableTransaction transaction = writes.build();
         if (!transaction.writing()) {
             return Mono.empty();
         }
         return tables.transact(transaction)
-                .doOnNext(result -> settle(result, wanted))
+                .doOnNext(result -> recordResult(result, requestedLeases))
                 .then();
     }
 
-    private boolean wanted(Lease lease, boolean ours, int share, int sofar, int fairPart, Instant now, long nowNanos) {
-        Held own = held.get(share);
-        if (ours && own != null) {
-            return rules.dueForRenewal(own.askedAtNanos(), nowNanos);
+    private boolean shouldAcquireOrRenew(
+            Lease lease, boolean isHolder, int share, int requestedSoFar, int maxShares, Instant now, long nowNanos) {
+        HeldLease heldLease = heldLeases.get(share);
+        if (isHolder && heldLease != null) {
+            return rules.dueForRenewal(heldLease.requestedAtNanos(), nowNanos);
         }
-        boolean room = held.size() + sofar < fairPart;
-        return room && (ours || rules.mayTake(lease, now));
+        boolean belowMaxShares = heldLeases.size() + requestedSoFar < maxShares;
+        return belowMaxShares && (isHolder || rules.mayTake(lease, now));
     }
 
-    private int fairPart(List<TableRow> rows, Instant now) {
+    private int maxSharesPerController(List<TableRow> rows, Instant now) {
         Set<String> holders = new HashSet<>();
         holders.add(holder);
         for (TableRow row : rows) {
@@ -169,23 +173,23 @@
                 holders.add(lease.holder());
             }
         }
-        return (SHARES + holders.size() - 1) / holders.size();
+        return (SHARE_COUNT + holders.size() - 1) / holders.size();
     }
 
-    private void settle(TableResult result, Map<Integer, Held> wanted) {
+    private void recordResult(TableResult result, Map<Integer, HeldLease> requestedLeases) {
         if (result instanceof TableResult.Committed) {
-            wanted.forEach((share, lease) -> {
-                if (held.put(share, lease) == null) {
-                    LOG.info("took share {} of {} with epoch {}", share, dataCentre, lease.epoch());
+            requestedLeases.forEach((share, lease) -> {
+                if (heldLeases.put(share, lease) == null) {
+                    LOG.info("acquired the lease of share {} of {} with epoch {}", share, dataCentre, lease.epoch());
                 }
             });
         } else {
-            LOG.debug("leases were not written: {}", result);
+            LOG.debug("the lease transaction was not committed, the next round reads the leases again: {}", result);
         }
     }
 
     private String key(int share) {
-        return PREFIX + dataCentre.name() + '/' + share;
+        return KEY_PREFIX + dataCentre.name() + '/' + share;
     }
 
     private static JsonNode json(Lease lease) {
@@ -200,9 +204,9 @@
         try {
             return RecordJson.mapper().treeToValue(value, Lease.class);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a lease cannot be read: " + e.getOriginalMessage(), e);
+            throw new IllegalStateException("a stored lease cannot be parsed: " + e.getOriginalMessage(), e);
         }
     }
 
-    private record Held(long epoch, long askedAtNanos) {}
+    private record HeldLease(long epoch, long requestedAtNanos) {}
 }
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/package-info.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases, status reads and orders of a controller; not API.
+ * Leases, reconciliation and engine clients of the controller. Internal, not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-controller/src/main/java/org/radishpass/controller/package-info.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The controller: leases over endpoints and fenced orders to them.
+ * The controller, which leases endpoints and sends them orders with fencing tokens.
  *
  * @since 0.1.0
  */
--- a/radishpass-controller/src/test/java/org/radishpass/controller/internal/ShareLeasesTest.java
+++ b/radishpass-controller/src/test/java/org/radishpass/controller/internal/ShareLeasesTest.java
@@ -13,110 +13,110 @@
 import org.radishpass.tables.testing.FakeTables;
 import org.radishpass.tables.testing.FakeTables.Fault;
 
-/** Checks that of all controllers at most one may order an endpoint at a time. */
+/** Tests that at most one controller at a time may send orders to an endpoint. */
 final class ShareLeasesTest {
     private static final LeaseRules RULES = LeaseRules.DEFAULT;
     private static final String ENGINE = "engine-1";
 
     private final FakeTables tables = new FakeTables();
-    private final Time time = new Time();
-    private final ShareLeases one = leases("one");
-    private final ShareLeases two = leases("two");
+    private final ManualClock clock = new ManualClock();
+    private final ShareLeases first = leases("one");
+    private final ShareLeases second = leases("two");
 
     @Test
-    void aLoneControllerTakesAllShares() {
-        one.round().block();
+    void singleControllerAcquiresAllShares() {
+        first.runRound().block();
 
-        assertThat(one.heldShares()).hasSize(ShareLeases.SHARES);
-        assertThat(one.epochFor(ENGINE)).hasValue(1);
+        assertThat(first.heldShares()).hasSize(ShareLeases.SHARE_COUNT);
+        assertThat(first.epochFor(ENGINE)).hasValue(1);
     }
 
     @Test
-    void aSecondOneTakesNothingWhileTheFirstRenews() {
-        one.round().block();
+    void secondControllerAcquiresNothingWhileTheFirstRenews() {
+        first.runRound().block();
         for (int i = 0; i < 20; i++) {
-            time.pass(Duration.ofSeconds(2));
-            one.round().block();
-            two.round().block();
+            clock.advance(Duration.ofSeconds(2));
+            first.runRound().block();
+            second.runRound().block();
         }
 
-        assertThat(two.heldShares()).isEmpty();
-        assertThat(one.epochFor(ENGINE)).hasValue(1);
+        assertThat(second.heldShares()).isEmpty();
+        assertThat(first.epochFor(ENGINE)).hasValue(1);
     }
 
     @Test
-    void aPausedHolderMayNotOrderAndItsSharesGoOnWithAHigherEpoch() {
-        one.round().block();
-        time.pass(RULES.term().minus(RULES.orderLife()));
-        assertThat(one.epochFor(ENGINE)).isEmpty();
-        two.round().block();
-        assertThat(two.epochFor(ENGINE)).isEmpty();
-
-        time.pass(RULES.orderLife().plus(RULES.clockBound()).plusMillis(1));
-        two.round().block();
-
-        assertThat(two.epochFor(ENGINE)).hasValue(2);
-        assertThat(one.epochFor(ENGINE)).isEmpty();
+    void expiredLeasePassesOnWithAHigherEpoch() {
+        first.runRound().block();
+        clock.advance(RULES.term().minus(RULES.orderLife()));
+        assertThat(first.epochFor(ENGINE)).isEmpty();
+        second.runRound().block();
+        assertThat(second.epochFor(ENGINE)).isEmpty();
+
+        clock.advance(RULES.orderLife().plus(RULES.clockBound()).plusMillis(1));
+        second.runRound().block();
+
+        assertThat(second.epochFor(ENGINE)).hasValue(2);
+        assertThat(first.epochFor(ENGINE)).isEmpty();
     }
 
     @Test
-    void aHolderThatWakesAndFindsAnotherGivesUp() {
-        one.round().block();
-        time.pass(RULES.term().plus(RULES.clockBound()).plusMillis(1));
-        two.round().block();
+    void resumedHolderDropsSharesThatAnotherHolds() {
+        first.runRound().block();
+        clock.advance(RULES.term().plus(RULES.clockBound()).plusMillis(1));
+        second.runRound().block();
 
-        one.round().block();
+        first.runRound().block();
 
-        assertThat(one.heldShares()).isEmpty();
+        assertThat(first.heldShares()).isEmpty();
     }
 
     @Test
-    void withTheStoreAwayNothingIsOrderedOnceTheLeaseRunsOut() {
-        one.round().block();
+    void noOrdersAfterTheLeaseExpiresDuringAStoreOutage() {
+        first.runRound().block();
         tables.out(true);
-        time.pass(Duration.ofSeconds(8));
-        one.round().block();
-        assertThat(one.epochFor(ENGINE)).hasValue(1);
+        clock.advance(Duration.ofSeconds(8));
+        first.runRound().block();
+        assertThat(first.epochFor(ENGINE)).hasValue(1);
 
-        time.pass(Duration.ofSeconds(1));
-        one.round().block();
+        clock.advance(Duration.ofSeconds(1));
+        first.runRound().block();
 
-        assertThat(one.epochFor(ENGINE)).isEmpty();
+        assertThat(first.epochFor(ENGINE)).isEmpty();
     }
 
     @Test
-    void aRenewalWhoseAnswerIsLostDoesNotCountAsHeld() {
-        one.round().block();
-        time.pass(Duration.ofSeconds(8));
+    void renewalWithLostReplyDoesNotExtendTheLease() {
+        first.runRound().block();
+        clock.advance(Duration.ofSeconds(8));
         tables.nextWrites(Fault.ANSWER_LOST);
-        one.round().block();
-        time.pass(Duration.ofSeconds(1));
-        assertThat(one.epochFor(ENGINE)).isEmpty();
+        first.runRound().block();
+        clock.advance(Duration.ofSeconds(1));
+        assertThat(first.epochFor(ENGINE)).isEmpty();
 
-        one.round().block();
+        first.runRound().block();
 
-        assertThat(one.epochFor(ENGINE)).isPresent();
+        assertThat(first.epochFor(ENGINE)).isPresent();
     }
 
     @Test
-    void leasesThatAreGivenBackAreTakenAtOnce() {
-        one.round().block();
-        one.giveBack().block();
+    void releasedLeasesCanBeAcquiredAtOnce() {
+        first.runRound().block();
+        first.releaseAll().block();
 
-        two.round().block();
+        second.runRound().block();
 
-        assertThat(two.epochFor(ENGINE)).hasValue(2);
+        assertThat(second.epochFor(ENGINE)).hasValue(2);
     }
 
     private ShareLeases leases(String holder) {
-        return new ShareLeases(holder, new DataCentre("here"), tables, RULES, time, time::nanos);
+        return new ShareLeases(holder, new DataCentre("here"), tables, RULES, clock, clock::nanos);
     }
 
-    /** A clock that passes only when told to. */
-    private static final class Time extends Clock {
+    /** A clock that advances only by explicit calls. */
+    private static final class ManualClock extends Clock {
         private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
-        private void pass(Duration duration) {
+        private void advance(Duration duration) {
             now = now.plus(duration);
         }
 
