--- a/radishpass-cli/src/main/java/org/radishpass/cli/CliMain.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/CliMain.java
@@ -8,24 +8,24 @@
 import org.radishpass.runtime.settings.Program;
 
 /**
- * The operator's program.
+ * The main class of the operator's command-line tool.
  *
  * @since 0.1.0
  */
 public final class CliMain {
     private CliMain() {
-        // main only
+        // not instantiated
     }
 
     /**
-     * Runs one command.
+     * Runs the command that the arguments name and exits with its exit code.
      *
-     * @param arguments the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String... arguments) {
         new Program<>(
                         "radishpass",
-                        "writes and shows the records of a fleet, and explains what it did",
+                        "writes and shows the configuration records of a fleet, and explains how requests were handled",
                         new CliSettings(),
                         CliMain::run)
                 .runAndExit(arguments);
--- a/radishpass-cli/src/main/java/org/radishpass/cli/CliSettings.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/CliSettings.java
@@ -14,7 +14,7 @@
 import org.radishpass.runtime.settings.SettingChecks;
 
 /**
- * The settings of the command line.
+ * The command-line settings of the operator's tool.
  *
  * @since 0.1.0
  */
@@ -27,16 +27,23 @@
             usage = "apply, get, delete, diff, validate, history, status, explain or losses")
     private @Nullable String command;
 
-    @Argument(index = 1, metaVar = "WORD", multiValued = true, usage = "what the command is about")
-    private List<String> words = new ArrayList<>();
+    @Argument(
+            index = 1,
+            metaVar = "WORD",
+            multiValued = true,
+            usage = "operands of the command, such as a kind and a name")
+    private List<String> operands = new ArrayList<>();
 
     @Option(name = "--file", aliases = "-f", metaVar = "FILE", usage = "file or directory of records; may be repeated")
     private List<Path> files = new ArrayList<>();
 
-    @Option(name = "--platform", metaVar = "URL", usage = "platform's address, http://IP:PORT")
+    @Option(name = "--platform", metaVar = "URL", usage = "address of the platform, http://IP:PORT")
     private @Nullable String platform;
 
-    @Option(name = "--server", metaVar = "URL", usage = "router or controller to ask, http://IP:PORT; may be repeated")
+    @Option(
+            name = "--server",
+            metaVar = "URL",
+            usage = "address of a router or controller to query, http://IP:PORT; may be repeated")
     private List<String> servers = new ArrayList<>();
 
     @Option(name = "--logs", metaVar = "FILE", usage = "log of a router, for explain and losses; may be repeated")
@@ -45,118 +52,118 @@
     @Option(
             name = "--revision",
             metaVar = "N",
-            usage = "revision that you saw; the write is refused if there is a newer")
+            usage = "revision that the change is based on; the write is rejected if there is a newer one")
     private String revision = NO_REVISION;
 
-    @Option(name = "--author", metaVar = "NAME", usage = "who writes, for the history")
+    @Option(name = "--author", metaVar = "NAME", usage = "name of the author, recorded in the history")
     private String author = "operator";
 
-    @Option(name = "--api-version", metaVar = "V", usage = "schema version to show records under")
+    @Option(name = "--api-version", metaVar = "V", usage = "schema version in which records are shown")
     private String apiVersion = SchemaVersion.V2.wireName();
 
-    @Option(name = "--json", usage = "print JSON for programs")
+    @Option(name = "--json", usage = "print JSON instead of text")
     private boolean json;
 
     @Override
     public List<String> faults() {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         if (help() || version()) {
-            return faults;
+            return errors;
         }
-        CommandName name = CommandName.byName(command).orElse(null);
+        CommandName name = CommandName.byTypedName(command).orElse(null);
         if (name == null) {
-            faults.add("COMMAND is " + command + "; write one of " + CommandName.names());
-            return faults;
+            errors.add("COMMAND is " + command + "; write one of " + CommandName.typedNames());
+            return errors;
         }
         if (name.needsPlatform()) {
-            SettingChecks.httpAddress("--platform", platform, faults);
+            SettingChecks.httpAddress("--platform", platform, errors);
         }
         if (name.needsFiles() && files.isEmpty()) {
-            faults.add("--file is missing; write the file or directory of records");
+            errors.add("--file is missing; write the file or directory of records");
         }
         if (name == CommandName.LOSSES && logs.isEmpty()) {
-            faults.add("--logs is missing; write the log of a router");
+            errors.add("--logs is missing; write the log of a router");
         }
-        checkFiles(faults);
-        checkServers(name, faults);
-        if (words.size() < name.leastWords()) {
-            faults.add(name.wireName() + " needs " + name.wordsUsage());
+        checkFiles(errors);
+        checkServers(name, errors);
+        if (operands.size() < name.minOperands()) {
+            errors.add(name.typedName() + " needs " + name.operandsUsage());
         }
         if (SchemaVersion.byWireName(apiVersion).isEmpty()) {
-            faults.add("--api-version is '" + apiVersion + "'; write radishpass/v1 or radishpass/v2");
+            errors.add("--api-version is '" + apiVersion + "'; write radishpass/v1 or radishpass/v2");
         }
-        checkRevision(faults);
-        return faults;
+        checkRevision(errors);
+        return errors;
     }
 
-    private void checkFiles(List<String> faults) {
+    private void checkFiles(List<String> errors) {
         files.stream()
                 .filter(file -> !Files.exists(file))
-                .forEach(file -> faults.add("--file " + file + " is not there"));
+                .forEach(file -> errors.add("--file " + file + " does not exist"));
         logs.stream()
                 .filter(file -> !Files.isReadable(file))
-                .forEach(file -> faults.add("--logs " + file + " cannot be read"));
+                .forEach(file -> errors.add("--logs " + file + " cannot be read"));
     }
 
-    private void checkServers(CommandName name, List<String> faults) {
+    private void checkServers(CommandName name, List<String> errors) {
         if (name.needsServers() && servers.isEmpty() && logs.isEmpty()) {
-            faults.add("--server is missing (or RADISHPASS_SERVER)");
+            errors.add("--server is missing (or RADISHPASS_SERVER)");
         }
-        servers.forEach(server -> SettingChecks.httpAddress("--server", server, faults));
+        servers.forEach(server -> SettingChecks.httpAddress("--server", server, errors));
     }
 
-    private void checkRevision(List<String> faults) {
+    private void checkRevision(List<String> errors) {
         if (!revision.equals(NO_REVISION) && !revision.matches("\\d{1,18}")) {
-            faults.add("--revision is '" + revision + "'; write a whole number");
+            errors.add("--revision is '" + revision + "'; write a whole number");
         }
     }
 
-    /** Returns the command. */
+    /** Returns the command to run. */
     public CommandName command() {
-        return CommandName.byName(command).orElseThrow();
+        return CommandName.byTypedName(command).orElseThrow();
     }
 
-    /** Returns what the command is about. */
-    public List<String> words() {
-        return words;
+    /** Returns the operands that follow the command. */
+    public List<String> operands() {
+        return operands;
     }
 
-    /** Returns the files and directories of records. */
+    /** Returns the record files, and the directories that contain them. */
     public List<Path> files() {
         return files;
     }
 
-    /** Returns the logs to explain a request from. */
+    /** Returns the router logs that {@code explain} and {@code losses} read. */
     public List<Path> logs() {
         return logs;
     }
 
-    /** Returns the platform's address. */
+    /** Returns the address of the platform, or {@code "null"} if none is given. */
     public String platform() {
         return String.valueOf(platform);
     }
 
-    /** Returns the routers and controllers to ask. */
+    /** Returns the addresses of the routers and controllers to query. */
     public List<String> servers() {
         return servers;
     }
 
-    /** Returns the revision that the operator saw, if given. */
+    /** Returns the revision that the change is based on, if given. */
     public OptionalLong revision() {
         return revision.equals(NO_REVISION) ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(revision));
     }
 
-    /** Returns who writes. */
+    /** Returns the name of the author that the history records. */
     public String author() {
         return author;
     }
 
-    /** Returns the schema version to show records under. */
+    /** Returns the schema version in which records are shown. */
     public SchemaVersion apiVersion() {
         return SchemaVersion.byWireName(apiVersion).orElseThrow();
     }
 
-    /** Tells whether to print JSON. */
+    /** Tells whether to print JSON instead of text. */
     public boolean json() {
         return json;
     }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/CommandName.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/CommandName.java
@@ -7,85 +7,85 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The commands.
+ * The commands of the operator's tool, each with the options and operands that it requires.
  *
  * @since 0.1.0
  */
 public enum CommandName {
-    /** Writes records. */
+    /** Creates or updates records from files. */
     APPLY(true, true, false, ""),
-    /** Shows records. */
+    /** Shows stored records. */
     GET(true, false, false, ""),
     /** Deletes a record. */
     DELETE(true, false, false, "KIND NAME"),
-    /** Shows what apply would change. */
+    /** Shows the changes that {@link #APPLY} would make. */
     DIFF(true, true, false, ""),
-    /** Checks records without a fleet. */
+    /** Validates record files without access to a fleet. */
     VALIDATE(false, true, false, ""),
-    /** Shows who changed what. */
+    /** Shows the most recent changes of records with their authors. */
     HISTORY(true, false, false, ""),
-    /** Shows how routers and controllers are. */
+    /** Shows the status of routers and controllers. */
     STATUS(false, false, true, ""),
-    /** Shows why a request went where it went. */
+    /** Shows which endpoints a request was sent to, and why. */
     EXPLAIN(false, false, true, "REQUEST_ID"),
-    /** Shows from logs which requests were not answered in time, and why. */
+    /** Counts the requests in router logs that were not answered in time, by cause. */
     LOSSES(false, false, false, "");
 
     private final boolean needsPlatform;
     private final boolean needsFiles;
     private final boolean needsServers;
-    private final String wordsUsage;
+    private final String operandsUsage;
 
-    CommandName(boolean needsPlatform, boolean needsFiles, boolean needsServers, String wordsUsage) {
+    CommandName(boolean needsPlatform, boolean needsFiles, boolean needsServers, String operandsUsage) {
         this.needsPlatform = needsPlatform;
         this.needsFiles = needsFiles;
         this.needsServers = needsServers;
-        this.wordsUsage = wordsUsage;
+        this.operandsUsage = operandsUsage;
     }
 
-    /** Returns the name as it is typed. */
-    public String wireName() {
+    /** Returns the name as the operator types it. */
+    public String typedName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Tells whether the platform's address must be given. */
+    /** Tells whether the address of the platform is required. */
     public boolean needsPlatform() {
         return needsPlatform;
     }
 
-    /** Tells whether files must be given. */
+    /** Tells whether record files are required. */
     public boolean needsFiles() {
         return needsFiles;
     }
 
-    /** Tells whether a router or controller must be given. */
+    /** Tells whether the address of a router or controller is required. */
     public boolean needsServers() {
         return needsServers;
     }
 
-    /** Returns what words must follow. */
-    public String wordsUsage() {
-        return wordsUsage;
+    /** Returns the required operands for usage messages, separated by spaces; empty if there are none. */
+    public String operandsUsage() {
+        return operandsUsage;
     }
 
-    /** Returns how many words must follow. */
-    public int leastWords() {
-        return wordsUsage.isEmpty() ? 0 : wordsUsage.split(" ", -1).length;
+    /** Returns the number of required operands. */
+    public int minOperands() {
+        return operandsUsage.isEmpty() ? 0 : operandsUsage.split(" ", -1).length;
     }
 
-    /** Returns all names as they are typed. */
-    public static List<String> names() {
-        return Arrays.stream(values()).map(CommandName::wireName).toList();
+    /** Returns the names of all commands as the operator types them. */
+    public static List<String> typedNames() {
+        return Arrays.stream(values()).map(CommandName::typedName).toList();
     }
 
     /**
-     * Finds a command.
+     * Returns the command with a name, or nothing if there is none.
      *
-     * @param typed the name as it was typed
+     * @param typed the name as the operator typed it
      */
-    public static Optional<CommandName> byName(@Nullable String typed) {
+    public static Optional<CommandName> byTypedName(@Nullable String typed) {
         return Arrays.stream(values())
-                .filter(name -> name.wireName().equals(typed))
+                .filter(name -> name.typedName().equals(typed))
                 .findFirst();
     }
 }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
@@ -28,14 +28,14 @@
 import org.radishpass.tables.table.HttpTableService;
 
 /**
- * Carries out a command.
+ * Runs the command of one invocation of the operator's tool.
  *
  * @since 0.1.0
  */
 public final class Commands {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
-    private static final Duration PLATFORM_PATIENCE = Duration.ofSeconds(3);
-    private static final int SHOWN_CHANGES = 50;
+    private static final Duration STORE_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(3);
+    private static final int MAX_SHOWN_CHANGES = 50;
 
     private final CliSettings settings;
     private final HttpRuntime runtime;
@@ -43,21 +43,21 @@
     private final HttpTableService tables;
 
     /**
-     * Creates the commands.
+     * Creates a runner for the command in the settings.
      *
-     * @param settings the settings, checked
-     * @param runtime event loops and clients
-     * @param reporter where results and faults go
+     * @param settings the validated settings
+     * @param runtime the event loops and HTTP clients
+     * @param reporter prints results and errors
      */
     public Commands(CliSettings settings, HttpRuntime runtime, Reporter reporter) {
         this.settings = settings;
         this.runtime = runtime;
         this.reporter = reporter;
-        this.tables = new HttpTableService(runtime.client(), settings.platform(), PLATFORM_PATIENCE);
+        this.tables = new HttpTableService(runtime.client(), settings.platform(), REQUEST_TIMEOUT);
     }
 
     /**
-     * Carries the command out.
+     * Runs the command and returns the exit code.
      *
      * @throws IOException if a file cannot be read
      */
@@ -75,32 +75,32 @@
                 case LOSSES -> losses();
             };
         } catch (StoreUnavailableException e) {
-            reporter.fault("the platform's store gave no answer: " + e.getMessage());
+            reporter.error("the platform's store is unavailable: " + e.getMessage());
             return ExitCode.UNAVAILABLE;
         }
     }
 
     private ExitCode apply() throws IOException {
-        RecordFiles.ReadResult read = RecordSources.read(settings.files());
+        RecordFiles.ReadResult read = RecordFileLoader.read(settings.files());
         if (!read.faults().isEmpty()) {
-            read.faults().forEach(reporter::fault);
+            read.faults().forEach(reporter::error);
             return ExitCode.USAGE;
         }
         WriteResult result = writer().apply(read.documents(), settings.author(), settings.revision())
-                .blockOptional(PATIENCE)
+                .blockOptional(STORE_TIMEOUT)
                 .orElseThrow();
         return report(result);
     }
 
     private ExitCode delete() {
-        Optional<RecordKind> kind = RecordKind.byWireName(settings.words().get(0));
+        Optional<RecordKind> kind = RecordKind.byWireName(settings.operands().get(0));
         if (kind.isEmpty()) {
-            reporter.fault("there is no kind " + settings.words().get(0));
+            reporter.error("unknown kind " + settings.operands().get(0));
             return ExitCode.USAGE;
         }
-        RecordKey key = new RecordKey(kind.get().wireName(), settings.words().get(1));
+        RecordKey key = new RecordKey(kind.get().wireName(), settings.operands().get(1));
         WriteResult result = writer().delete(List.of(key), settings.author(), settings.revision())
-                .blockOptional(PATIENCE)
+                .blockOptional(STORE_TIMEOUT)
                 .orElseThrow();
         return report(result);
     }
@@ -109,33 +109,35 @@
         if (result instanceof WriteResult.Accepted accepted) {
             accepted.changes().forEach(change -> reporter.line(describe(change)));
             reporter.line(
-                    "revision " + accepted.revision() + (accepted.changes().isEmpty() ? ", nothing to change" : ""));
+                    "revision " + accepted.revision() + (accepted.changes().isEmpty() ? ", no changes" : ""));
             return ExitCode.OK;
         }
         if (result instanceof WriteResult.Conflict conflict) {
-            reporter.fault("revision " + conflict.actual() + " is in force, not " + conflict.expected()
-                    + "; look at it with 'get' and 'history', then write again");
+            reporter.error("the current revision is " + conflict.actual() + ", not " + conflict.expected()
+                    + "; review it with 'get' and 'history', then retry");
             return ExitCode.CONFLICT;
         }
         if (result instanceof WriteResult.Refused refused) {
-            reporter.fault("nothing was written: " + refused.detail());
+            reporter.error("nothing was written: " + refused.detail());
             return ExitCode.UNAVAILABLE;
         }
-        reporter.fault("the write may have been accepted: " + result + "; look with 'history'");
+        reporter.error("the write may have been accepted: " + result + "; check with 'history'");
         return ExitCode.FAILED;
     }
 
     private ExitCode get() {
         Configuration configuration = configuration();
-        String kindWanted = settings.words().isEmpty() ? "" : settings.words().get(0);
-        String nameWanted = settings.words().size() < 2 ? "" : settings.words().get(1);
+        String kindFilter =
+                settings.operands().isEmpty() ? "" : settings.operands().get(0);
+        String nameFilter =
+                settings.operands().size() < 2 ? "" : settings.operands().get(1);
         List<StoredRecord> found = configuration.records().stream()
                 .filter(stored -> !stored.deleted())
-                .filter(stored -> kindWanted.isEmpty() || stored.kind().equalsIgnoreCase(kindWanted))
-                .filter(stored -> nameWanted.isEmpty() || stored.name().equals(nameWanted))
+                .filter(stored -> kindFilter.isEmpty() || stored.kind().equalsIgnoreCase(kindFilter))
+                .filter(stored -> nameFilter.isEmpty() || stored.name().equals(nameFilter))
                 .toList();
-        if (!nameWanted.isEmpty() && found.isEmpty()) {
-            reporter.fault("there is no " + kindWanted + ' ' + nameWanted);
+        if (!nameFilter.isEmpty() && found.isEmpty()) {
+            reporter.error("there is no " + kindFilter + ' ' + nameFilter);
             return ExitCode.FAILED;
         }
         found.forEach(stored -> reporter.document(view(stored), settings.json()));
@@ -155,9 +157,9 @@
     }
 
     private ExitCode diff() throws IOException {
-        RecordFiles.ReadResult read = RecordSources.read(settings.files());
+        RecordFiles.ReadResult read = RecordFileLoader.read(settings.files());
         if (!read.faults().isEmpty()) {
-            read.faults().forEach(reporter::fault);
+            read.faults().forEach(reporter::error);
             return ExitCode.USAGE;
         }
         Configuration configuration = configuration();
@@ -174,25 +176,26 @@
                 reporter.line("+ " + after);
             }
         }
-        reporter.line("against revision " + configuration.revision());
+        reporter.line("compared with revision " + configuration.revision());
         return ExitCode.OK;
     }
 
     private ExitCode validate() throws IOException {
-        RecordFiles.ReadResult read = RecordSources.read(settings.files());
-        read.faults().forEach(reporter::fault);
+        RecordFiles.ReadResult read = RecordFileLoader.read(settings.files());
+        read.faults().forEach(reporter::error);
         if (!read.faults().isEmpty()) {
             return ExitCode.USAGE;
         }
-        reporter.line(read.documents().size() + " records are good");
+        reporter.line(read.documents().size() + " records are valid");
         return ExitCode.OK;
     }
 
     private ExitCode history() {
         ConfigurationStore store = new ConfigurationStore(tables);
-        long head = store.head().blockOptional(PATIENCE).orElse(0L);
-        List<ConfigurationChange> changes =
-                store.newest(head, SHOWN_CHANGES).blockOptional(PATIENCE).orElse(List.of());
+        long head = store.head().blockOptional(STORE_TIMEOUT).orElse(0L);
+        List<ConfigurationChange> changes = store.newest(head, MAX_SHOWN_CHANGES)
+                .blockOptional(STORE_TIMEOUT)
+                .orElse(List.of());
         changes.forEach(change -> reporter.line(describe(change)));
         return ExitCode.OK;
     }
@@ -204,7 +207,7 @@
             if (status.isPresent()) {
                 reporter.document(status.get(), settings.json());
             } else {
-                reporter.fault(server + " does not answer");
+                reporter.error(server + " does not answer");
                 code = ExitCode.UNAVAILABLE;
             }
         }
@@ -216,21 +219,22 @@
             return explainFromLogs();
         }
         for (String server : settings.servers()) {
-            Optional<JsonNode> account =
-                    fetch(server + "/v1/explain/" + settings.words().get(0));
-            if (account.isPresent() && account.get().has("steps")) {
-                reporter.document(account.get(), settings.json());
+            Optional<JsonNode> explanation =
+                    fetch(server + "/v1/explain/" + settings.operands().get(0));
+            if (explanation.isPresent() && explanation.get().has("steps")) {
+                reporter.document(explanation.get(), settings.json());
                 return ExitCode.OK;
             }
         }
-        reporter.fault("no router asked remembers request " + settings.words().get(0));
+        reporter.error(
+                "no router asked remembers request " + settings.operands().get(0));
         return ExitCode.FAILED;
     }
 
     private ExitCode losses() throws IOException {
         Losses losses = Losses.read(settings.logs());
-        if (losses.unreadable() > 0) {
-            reporter.fault(losses.unreadable() + " lines of the logs cannot be read and are left out");
+        if (losses.unreadableLines() > 0) {
+            reporter.error(losses.unreadableLines() + " lines of the logs cannot be read and are left out");
         }
         if (settings.json()) {
             reporter.document(losses.json(), true);
@@ -241,13 +245,13 @@
     }
 
     private ExitCode explainFromLogs() throws IOException {
-        RequestHistory history = RequestHistory.read(settings.words().get(0), settings.logs());
-        if (history.unreadable() > 0) {
-            reporter.fault(history.unreadable() + " lines of the logs are no JSON and were left out");
+        RequestHistory history = RequestHistory.read(settings.operands().get(0), settings.logs());
+        if (history.unreadableLines() > 0) {
+            reporter.error(history.unreadableLines() + " lines of the logs are no JSON and were left out");
         }
         if (history.empty()) {
-            reporter.fault(
-                    "no line of the logs names request " + settings.words().get(0));
+            reporter.error(
+                    "no line of the logs names request " + settings.operands().get(0));
             return ExitCode.FAILED;
         }
         if (settings.json()) {
@@ -265,11 +269,14 @@
                 .responseSingle((response, content) -> content.asByteArray())
                 .map(HttpJson::parse)
                 .onErrorComplete()
-                .blockOptional(PLATFORM_PATIENCE);
+                .blockOptional(REQUEST_TIMEOUT);
     }
 
     private Configuration configuration() {
-        return new ConfigurationStore(tables).snapshot().blockOptional(PATIENCE).orElseThrow();
+        return new ConfigurationStore(tables)
+                .snapshot()
+                .blockOptional(STORE_TIMEOUT)
+                .orElseThrow();
     }
 
     private ConfigurationWriter writer() {
@@ -278,8 +285,8 @@
     }
 
     private static String describe(ConfigurationChange change) {
-        String what = change.recordAfter().deleted() ? "deleted " : "wrote ";
-        return change.revision() + " " + change.at() + " " + change.author() + " " + what
+        String action = change.recordAfter().deleted() ? "deleted " : "wrote ";
+        return change.revision() + " " + change.at() + " " + change.author() + " " + action
                 + change.recordAfter().key();
     }
 }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/JsonLogReader.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/JsonLogReader.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads the JSON lines of logs. */
-final class LogFiles {
+/** Reads log files that have one JSON object per line. */
+final class JsonLogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private LogFiles() {
+    private JsonLogReader() {
         // static methods only
     }
 
     /**
-     * Reads logs.
+     * Passes each JSON object in the log files to a consumer.
      *
-     * @param files the logs, one JSON object a line; what stands before it on a line is ignored
-     * @param taker takes each line
-     * @return the number of lines that begin like JSON and are none
+     * @param files the log files; text before the first opening brace of a line, and lines without one, are ignored
+     * @param consumer receives the parsed object of each line
+     * @return the number of lines that contain an opening brace but no valid JSON
      * @throws IOException if a file cannot be read
      */
-    static int read(List<Path> files, Consumer<JsonNode> taker) throws IOException {
+    static int read(List<Path> files, Consumer<JsonNode> consumer) throws IOException {
         int unreadable = 0;
         for (Path file : files) {
             try (BufferedReader reader = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
@@ -37,7 +37,7 @@
                         continue;
                     }
                     try {
-                        taker.accept(JSON.readTree(text.substring(start)));
+                        consumer.accept(JSON.readTree(text.substring(start)));
                     } catch (JsonProcessingException e) {
                         unreadable++;
                     }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/LoggedRequest.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/LoggedRequest.java
@@ -7,17 +7,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A request as the line that a router wrote at its end tells it. Times are in milliseconds after the request came in; -1 where
- * something did not happen.
+ * A finished request, parsed from the log line that a router writes at its end. Times are in milliseconds since the
+ * request arrived, or -1 if the event did not happen.
  *
- * @param outcome how it ended, in the router's words
- * @param route its route
- * @param workspace its workspace, or empty
- * @param second the second in which it ended, as the log's clock tells it
- * @param status the HTTP status that the caller got; 0 where there was no whole answer
- * @param targetMillis the time within which its answer should begin; 0 if its route names none
- * @param beganMillis when its answer began
- * @param attempts the tries at endpoints
+ * @param outcome the message of the log line, which says how the request ended
+ * @param route the name of the request's route
+ * @param workspace the name of the request's workspace, or empty
+ * @param second the timestamp of the log line, cut to whole seconds
+ * @param status the HTTP status of the answer; 0 if the caller got no complete answer
+ * @param targetMillis the target time to the start of the answer; 0 if the route sets none
+ * @param beganMillis the time at which the answer began
+ * @param attempts the attempts to run the request at an endpoint, in order
  */
 record LoggedRequest(
         String outcome,
@@ -27,62 +27,63 @@
         int status,
         long targetMillis,
         long beganMillis,
-        List<Try> attempts) {
-    private static final String EVENT = "request";
-    private static final int SECOND_LENGTH = "2026-01-01T00:00:00".length();
-    private static final Pattern TRY = Pattern.compile("^(\\S+) .*chosen (-?\\d+) sent (-?\\d+) head (-?\\d+)");
+        List<Attempt> attempts) {
+    private static final String REQUEST_EVENT = "request";
+    private static final int TIMESTAMP_LENGTH_TO_SECOND = "2026-01-01T00:00:00".length();
+    private static final Pattern ATTEMPT_PATTERN =
+            Pattern.compile("^(\\S+) .*chosen (-?\\d+) sent (-?\\d+) head (-?\\d+)");
 
-    /** Tells whether a line is the end of a request. */
-    static boolean in(JsonNode line) {
-        return line.path("event").asText().equals(EVENT);
+    /** Tells whether a log line reports the end of a request. */
+    static boolean isRequestEvent(JsonNode line) {
+        return line.path("event").asText().equals(REQUEST_EVENT);
     }
 
-    /** Reads a line. */
+    /** Parses a log line that reports the end of a request. */
     static LoggedRequest of(JsonNode line) {
-        List<Try> attempts = new ArrayList<>();
-        line.path("attempts").forEach(each -> Try.read(each.asText(), attempts));
+        List<Attempt> attempts = new ArrayList<>();
+        line.path("attempts").forEach(attempt -> Attempt.parse(attempt.asText(), attempts));
         String time = line.path("@timestamp").asText();
         return new LoggedRequest(
                 line.path("message").asText(),
                 line.path("route").asText(),
                 line.path("workspace").asText(),
-                time.substring(0, Math.min(SECOND_LENGTH, time.length())),
+                time.substring(0, Math.min(TIMESTAMP_LENGTH_TO_SECOND, time.length())),
                 line.path("status").asInt(),
                 line.path("target").asLong(),
                 line.path("began").asLong(-1),
                 attempts);
     }
 
-    /** Tells whether its answer came whole and began later than it should. */
+    /** Tells whether the answer was complete and successful but began after the target time. */
     boolean late() {
         return status > 0 && status < 400 && targetMillis > 0 && beganMillis > targetMillis;
     }
 
-    /** Tells whether its answer came whole and in time. */
+    /** Tells whether the answer was complete and successful and began within the target time. */
     boolean inTime() {
         return status > 0 && status < 400 && !late();
     }
 
-    /** Returns the last try; one that never was if there is none. */
-    Try last() {
-        return attempts.isEmpty() ? Try.NEVER : attempts.get(attempts.size() - 1);
+    /** Returns the last attempt, or {@link Attempt#NONE} if there was none. */
+    Attempt lastAttempt() {
+        return attempts.isEmpty() ? Attempt.NONE : attempts.get(attempts.size() - 1);
     }
 
     /**
-     * One try.
+     * One attempt to run the request at an endpoint.
      *
-     * @param endpoint the endpoint
-     * @param chosenMillis when the endpoint was chosen
-     * @param sentMillis when the request was sent
-     * @param headMillis when the head of the answer came
+     * @param endpoint the id of the endpoint
+     * @param chosenMillis the time at which the endpoint was chosen
+     * @param sentMillis the time at which the request was sent
+     * @param headMillis the time at which the head of the answer arrived
      */
-    record Try(String endpoint, long chosenMillis, long sentMillis, long headMillis) {
-        static final Try NEVER = new Try("-", -1, -1, -1);
+    record Attempt(String endpoint, long chosenMillis, long sentMillis, long headMillis) {
+        static final Attempt NONE = new Attempt("-", -1, -1, -1);
 
-        private static void read(String text, List<Try> attempts) {
-            Matcher matcher = TRY.matcher(text);
+        private static void parse(String text, List<Attempt> attempts) {
+            Matcher matcher = ATTEMPT_PATTERN.matcher(text);
             if (matcher.find()) {
-                attempts.add(new Try(
+                attempts.add(new Attempt(
                         matcher.group(1),
                         Long.parseLong(matcher.group(2)),
                         Long.parseLong(matcher.group(3)),
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/LossCause.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/LossCause.java
@@ -2,132 +2,138 @@
 
 import java.util.Arrays;
 
-/** Why a request was not answered in time, as far as its line tells. The first cause that fits is the request's. */
+/**
+ * The causes for which a request was not answered in time, as far as its log line tells. The cause of a request is the
+ * first constant that matches.
+ */
 enum LossCause {
-    /** The configuration in force does not allow it; nothing was owed. */
+    /** The current configuration does not allow the request, so that no answer was owed. */
     NOT_ALLOWED("not allowed by the configuration") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.status() == 401 || request.status() == 403 || request.status() == 404;
         }
     },
-    /** The router had just started, or was stopping. */
+    /** The router was starting and had no configuration yet, or was stopping. */
     ROUTER_NOT_READY("router starting or stopping") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "no configuration") || says(request, "is stopping");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "no configuration") || outcomeContains(request, "is stopping");
         }
     },
-    /** The router knew that there was a newer configuration, which may allow the request, and did not have it yet. */
+    /** The router had not yet received a newer configuration, which might allow the request. */
     NEWER_CONFIGURATION("router behind its configuration") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "newer configuration");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "newer configuration");
         }
     },
-    /** Endpoints had ended whenever they ran it. */
+    /** The request was held back, because endpoints terminated whenever they ran it. */
     HELD_BACK("held back: it ends its endpoints") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "endpoints end when they run");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "endpoints end when they run");
         }
     },
-    /** Nothing of the service took requests. */
+    /** No endpoint of the service accepted requests. */
     NO_ENDPOINT("no endpoint was left") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "no endpoint");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "no endpoint");
         }
     },
-    /** The endpoints had rejected requests with Retry-After. */
+    /** All suitable endpoints were in backoff after they had rejected requests with Retry-After. */
     BACKOFF("endpoints in backoff") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "in backoff");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "in backoff");
         }
     },
-    /** The endpoints had more than they should wait for. */
+    /** All suitable endpoints were full, or an endpoint did not accept the request. */
     FULL("endpoints full") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "is full") || says(request, "did not take the request");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "is full") || outcomeContains(request, "did not take the request");
         }
     },
-    /** The time was over while it had not been sent. */
+    /** The deadline passed, or the caller disconnected, before the request was sent. */
     WAITED_TO_BE_SENT("waited for a connection") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return over(request) && request.last().sentMillis() < 0;
+        boolean matches(LoggedRequest request) {
+            return timedOutOrCallerLeft(request) && request.lastAttempt().sentMillis() < 0;
         }
     },
-    /** The time was over, or the caller gone, while its endpoint said nothing. */
+    /** The deadline passed, or the caller disconnected, before the endpoint began to answer. */
     SILENT_ENDPOINT("silent endpoint") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return over(request) && request.last().headMillis() < 0;
+        boolean matches(LoggedRequest request) {
+            return timedOutOrCallerLeft(request) && request.lastAttempt().headMillis() < 0;
         }
     },
-    /** The time was over, or the caller gone, while its answer came. */
+    /** The deadline passed, or the caller disconnected, during the answer. */
     ENDED_IN_ANSWER("time over or caller gone during the answer") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return over(request);
+        boolean matches(LoggedRequest request) {
+            return timedOutOrCallerLeft(request);
         }
     },
-    /** The answer broke off at the endpoint. */
+    /** The endpoint ended the answer before it was complete. */
     BROKE_OFF("endpoint broke off") {
         @Override
-        boolean fits(LoggedRequest request) {
-            return says(request, "broken off");
+        boolean matches(LoggedRequest request) {
+            return outcomeContains(request, "broken off");
         }
     },
-    /** More than one endpoint answered with an error. */
+    /** The request failed at more than one endpoint and was answered with an error. */
     ERROR_AT_EACH("error at each endpoint") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.status() >= 500 && request.attempts().size() > 1;
         }
     },
-    /** The endpoint answered with an error and the request could not be tried elsewhere. */
+    /** The request was answered with an error after at most one attempt. */
     ERROR("error at its endpoint") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.status() >= 500;
         }
     },
-    /** The router itself took long to begin with it. */
+    /** The router took more than half of the target time to choose the first endpoint. */
     LATE_ROUTER("late: router was busy") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.late() && request.attempts().get(0).chosenMillis() * 2 > request.targetMillis();
         }
     },
-    /** It was answered by a second endpoint. */
+    /** The answer began late because an earlier attempt failed or timed out. */
     LATE_SECOND_TRY("late: first endpoint failed or was silent") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.late() && request.attempts().size() > 1;
         }
     },
-    /** A connection took long. */
+    /** The request waited more than a quarter of the target time for a connection to its endpoint. */
     LATE_CONNECTION("late: waited for a connection") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.late()
-                    && (request.last().sentMillis() - request.last().chosenMillis()) * 4 > request.targetMillis();
+                    && (request.lastAttempt().sentMillis()
+                                            - request.lastAttempt().chosenMillis())
+                                    * 4
+                            > request.targetMillis();
         }
     },
-    /** Its endpoint took long to begin. */
+    /** The endpoint took long to begin the answer. */
     LATE_ENDPOINT("late: slow endpoint") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return request.late();
         }
     },
-    /** Nothing fits. */
+    /** No other cause matches. */
     UNKNOWN("no cause found") {
         @Override
-        boolean fits(LoggedRequest request) {
+        boolean matches(LoggedRequest request) {
             return true;
         }
     };
@@ -138,27 +144,28 @@
         this.text = text;
     }
 
-    /** Tells whether this can be why a request was not answered in time. */
-    abstract boolean fits(LoggedRequest request);
+    /** Tells whether this cause matches a request that was not answered in time. */
+    abstract boolean matches(LoggedRequest request);
 
-    /** Returns the cause in words. */
+    /** Returns the description of the cause for reports. */
     String text() {
         return text;
     }
 
-    /** Finds the cause of a request that was not answered in time. */
+    /** Returns the first cause that matches a request that was not answered in time. */
     static LossCause of(LoggedRequest request) {
         return Arrays.stream(values())
-                .filter(cause -> cause.fits(request))
+                .filter(cause -> cause.matches(request))
                 .findFirst()
                 .orElse(UNKNOWN);
     }
 
-    private static boolean says(LoggedRequest request, String words) {
+    private static boolean outcomeContains(LoggedRequest request, String words) {
         return request.outcome().contains(words);
     }
 
-    private static boolean over(LoggedRequest request) {
-        return says(request, "the time for an answer is over") || says(request, "the caller left");
+    private static boolean timedOutOrCallerLeft(LoggedRequest request) {
+        return outcomeContains(request, "the time for an answer is over")
+                || outcomeContains(request, "the caller left");
     }
 }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/Losses.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/Losses.java
@@ -13,92 +13,96 @@
 import java.util.function.Function;
 
 /**
- * What the logs of several routers say of the requests that were not answered in time: how many, why, and where.
+ * The numbers of requests in router logs that were not answered in time, by cause, route, workspace, last endpoint and
+ * second.
  *
  * @since 0.4.0
  */
 public final class Losses {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Rows of each table for people. */
-    private static final int MOST_ROWS = 12;
+    /** The maximum number of rows of a printed table. */
+    private static final int MAX_ROWS = 12;
 
-    private final List<LoggedRequest> lost = new ArrayList<>();
-    private int inTime;
-    private int unreadable;
+    private final List<LoggedRequest> lostRequests = new ArrayList<>();
+    private int inTimeCount;
+    private int unreadableLines;
 
     private Losses() {
-        // filled by read
+        // created and filled by read()
     }
 
     /**
-     * Reads logs.
+     * Reads log files and counts their requests.
      *
-     * @param files the logs, one JSON object a line; what stands before it on a line is ignored
+     * @param files the log files, one JSON object per line; text before the object on a line is ignored
      * @throws IOException if a file cannot be read
      */
     public static Losses read(List<Path> files) throws IOException {
         Losses losses = new Losses();
-        losses.unreadable = LogFiles.read(files, losses::take);
+        losses.unreadableLines = JsonLogReader.read(files, losses::addLine);
         return losses;
     }
 
-    private void take(JsonNode line) {
-        if (!LoggedRequest.in(line)) {
+    private void addLine(JsonNode line) {
+        if (!LoggedRequest.isRequestEvent(line)) {
             return;
         }
         LoggedRequest request = LoggedRequest.of(line);
         if (request.inTime()) {
-            inTime++;
+            inTimeCount++;
         } else {
-            lost.add(request);
+            lostRequests.add(request);
         }
     }
 
-    /** Returns the number of lines that begin like JSON and are none. */
-    public int unreadable() {
-        return unreadable;
+    /** Returns the number of lines that contain an opening brace but no valid JSON. */
+    public int unreadableLines() {
+        return unreadableLines;
     }
 
-    /** Returns the sums for programs. */
+    /** Returns the counts as JSON. */
     public JsonNode json() {
         ObjectNode root = JSON.createObjectNode();
-        root.put("requests", inTime + lost.size());
-        root.put("inTime", inTime);
+        root.put("requests", inTimeCount + lostRequests.size());
+        root.put("inTime", inTimeCount);
         root.set(
                 "causes",
-                JSON.valueToTree(counts(request -> LossCause.of(request).name())));
-        root.set("routes", JSON.valueToTree(counts(LoggedRequest::route)));
-        root.set("workspaces", JSON.valueToTree(counts(LoggedRequest::workspace)));
-        root.set("endpoints", JSON.valueToTree(counts(request -> request.last().endpoint())));
-        root.set("seconds", JSON.valueToTree(counts(LoggedRequest::second)));
+                JSON.valueToTree(countBy(request -> LossCause.of(request).name())));
+        root.set("routes", JSON.valueToTree(countBy(LoggedRequest::route)));
+        root.set("workspaces", JSON.valueToTree(countBy(LoggedRequest::workspace)));
+        root.set(
+                "endpoints",
+                JSON.valueToTree(countBy(request -> request.lastAttempt().endpoint())));
+        root.set("seconds", JSON.valueToTree(countBy(LoggedRequest::second)));
         return root;
     }
 
-    /** Returns the tables for people, a line each. */
+    /** Returns the lines of the printed tables. */
     public List<String> table() {
         List<String> lines = new ArrayList<>();
-        lines.add("requests " + (inTime + lost.size()) + ", in time " + inTime + ", not in time " + lost.size());
-        rows(lines, "cause", request -> LossCause.of(request).text());
-        rows(lines, "route", LoggedRequest::route);
-        rows(lines, "workspace", LoggedRequest::workspace);
-        rows(lines, "endpoint", request -> request.last().endpoint());
-        rows(lines, "second", LoggedRequest::second);
+        lines.add("requests " + (inTimeCount + lostRequests.size()) + ", in time " + inTimeCount + ", not in time "
+                + lostRequests.size());
+        addTable(lines, "cause", request -> LossCause.of(request).text());
+        addTable(lines, "route", LoggedRequest::route);
+        addTable(lines, "workspace", LoggedRequest::workspace);
+        addTable(lines, "endpoint", request -> request.lastAttempt().endpoint());
+        addTable(lines, "second", LoggedRequest::second);
         return lines;
     }
 
-    private void rows(List<String> lines, String title, Function<LoggedRequest, String> key) {
+    private void addTable(List<String> lines, String title, Function<LoggedRequest, String> key) {
         lines.add("");
         lines.add("by " + title);
-        counts(key).entrySet().stream()
+        countBy(key).entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-                .limit(MOST_ROWS)
-                .forEach(each -> lines.add(String.format(Locale.ROOT, "%8d  %s", each.getValue(), each.getKey())));
+                .limit(MAX_ROWS)
+                .forEach(count -> lines.add(String.format(Locale.ROOT, "%8d  %s", count.getValue(), count.getKey())));
     }
 
-    private Map<String, Integer> counts(Function<LoggedRequest, String> key) {
+    private Map<String, Integer> countBy(Function<LoggedRequest, String> key) {
         Map<String, Integer> counts = new TreeMap<>();
-        lost.forEach(request -> counts.merge(key.apply(request), 1, Integer::sum));
+        lostRequests.forEach(request -> counts.merge(key.apply(request), 1, Integer::sum));
         return counts;
     }
 }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/RecordFileLoader.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/RecordFileLoader.java
@@ -11,27 +11,27 @@
 import org.radishpass.records.RecordFiles;
 
 /**
- * Reads records from files and directories.
+ * Reads records from files, and from all YAML and JSON files of directories.
  *
  * @since 0.1.0
  */
-final class RecordSources {
-    private RecordSources() {
+final class RecordFileLoader {
+    private RecordFileLoader() {
         // static methods only
     }
 
     static RecordFiles.ReadResult read(List<Path> sources) throws IOException {
         List<RecordDocument> documents = new ArrayList<>();
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         for (Path source : sources) {
             for (Path file : files(source)) {
                 String text = Files.readString(file, StandardCharsets.UTF_8);
                 RecordFiles.ReadResult read = RecordFiles.read(file.toString(), text);
                 documents.addAll(read.documents());
-                faults.addAll(read.faults());
+                errors.addAll(read.faults());
             }
         }
-        return new RecordFiles.ReadResult(documents, faults);
+        return new RecordFiles.ReadResult(documents, errors);
     }
 
     private static List<Path> files(Path source) throws IOException {
@@ -39,7 +39,7 @@
             return List.of(source);
         }
         try (Stream<Path> found = Files.list(source)) {
-            return found.filter(RecordSources::isRecordFile).sorted().toList();
+            return found.filter(RecordFileLoader::isRecordFile).sorted().toList();
         }
     }
 
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/Reporter.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/Reporter.java
@@ -7,7 +7,7 @@
 import java.io.PrintStream;
 
 /**
- * Takes what a command has to say: results for people or programs, and faults.
+ * Prints the results and errors of a command.
  *
  * @since 0.1.0
  */
@@ -21,8 +21,8 @@
     /**
      * Creates a reporter.
      *
-     * @param out where results go
-     * @param err where faults go
+     * @param out the stream for results
+     * @param err the stream for errors
      */
     public Reporter(PrintStream out, PrintStream err) {
         this.out = out;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Reports a line.
+     * Prints one line of a result.
      *
      * @param text the line
      */
@@ -39,19 +39,19 @@
     }
 
     /**
-     * Reports a fault.
+     * Prints an error message.
      *
-     * @param text what is wrong
+     * @param text the error message
      */
-    public void fault(String text) {
+    public void error(String text) {
         err.println("radishpass: " + text);
     }
 
     /**
-     * Reports a document.
+     * Prints a document as JSON or YAML.
      *
      * @param document the document
-     * @param json whether it is for programs
+     * @param json whether to print JSON; YAML otherwise
      */
     public void document(JsonNode document, boolean json) {
         try {
@@ -60,7 +60,7 @@
                             ? JSON.writeValueAsString(document) + System.lineSeparator()
                             : YAML.writeValueAsString(document));
         } catch (JsonProcessingException e) {
-            fault("a document cannot be shown: " + e.getOriginalMessage());
+            error("a document cannot be shown: " + e.getOriginalMessage());
         }
     }
 }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/RequestHistory.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/RequestHistory.java
@@ -13,62 +13,62 @@
 import java.util.Set;
 
 /**
- * What the logs of several routers say of one request: its own lines, and what routers came to believe of the endpoints
- * that it was sent to, in the order of time.
+ * The log lines of several routers about one request, sorted by time: the lines of the request itself, and those about
+ * state changes of the endpoints that the request was sent to.
  *
  * @since 0.2.0
  */
 public final class RequestHistory {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String TIME = "@timestamp";
+    private static final String TIMESTAMP = "@timestamp";
     private static final String REQUEST = "request";
     private static final String ATTEMPTS = "attempts";
     private static final String MESSAGE = "message";
     private static final String EVENT = "event";
-    private static final String ENDPOINT_EVENT = "endpoint-";
+    private static final String ENDPOINT_EVENT_PREFIX = "endpoint-";
 
     private final String requestId;
     private final List<JsonNode> lines;
-    private final int unreadable;
+    private final int unreadableLines;
 
-    private RequestHistory(String requestId, List<JsonNode> lines, int unreadable) {
+    private RequestHistory(String requestId, List<JsonNode> lines, int unreadableLines) {
         this.requestId = requestId;
         this.lines = lines;
-        this.unreadable = unreadable;
+        this.unreadableLines = unreadableLines;
     }
 
     /**
-     * Reads logs.
+     * Reads the lines about a request from log files.
      *
-     * @param requestId the request
-     * @param files the logs, one JSON object a line; what stands before it on a line is ignored
+     * @param requestId the id of the request
+     * @param files the log files, one JSON object per line; text before the object on a line is ignored
      * @throws IOException if a file cannot be read
      */
     public static RequestHistory read(String requestId, List<Path> files) throws IOException {
-        List<JsonNode> own = new ArrayList<>();
-        List<JsonNode> ofEndpoints = new ArrayList<>();
-        int unreadable = LogFiles.read(files, line -> sort(line, requestId, own, ofEndpoints));
-        Set<String> endpoints = endpoints(own);
-        ofEndpoints.removeIf(line -> !concerns(line, endpoints));
-        List<JsonNode> all = new ArrayList<>(own);
-        if (!own.isEmpty()) {
-            all.addAll(ofEndpoints);
+        List<JsonNode> requestLines = new ArrayList<>();
+        List<JsonNode> endpointLines = new ArrayList<>();
+        int unreadableLines = JsonLogReader.read(files, line -> classify(line, requestId, requestLines, endpointLines));
+        Set<String> endpoints = attemptedEndpoints(requestLines);
+        endpointLines.removeIf(line -> !mentionsAny(line, endpoints));
+        List<JsonNode> lines = new ArrayList<>(requestLines);
+        if (!requestLines.isEmpty()) {
+            lines.addAll(endpointLines);
         }
-        all.sort(Comparator.comparing(line -> line.path(TIME).asText()));
-        return new RequestHistory(requestId, all, unreadable);
+        lines.sort(Comparator.comparing(line -> line.path(TIMESTAMP).asText()));
+        return new RequestHistory(requestId, lines, unreadableLines);
     }
 
-    /** Tells whether no line names the request. */
+    /** Tells whether no log line belongs to the request. */
     public boolean empty() {
         return lines.isEmpty();
     }
 
-    /** Returns the number of lines that begin like JSON and are none. */
-    public int unreadable() {
-        return unreadable;
+    /** Returns the number of lines that contain an opening brace but no valid JSON. */
+    public int unreadableLines() {
+        return unreadableLines;
     }
 
-    /** Returns the history for programs. */
+    /** Returns the history as JSON. */
     public JsonNode json() {
         ObjectNode root = JSON.createObjectNode();
         root.put(REQUEST, requestId);
@@ -77,11 +77,11 @@
         return root;
     }
 
-    /** Returns the history for people, a line each. */
+    /** Returns the printed lines of the history. */
     public List<String> table() {
         List<String> table = new ArrayList<>();
         for (JsonNode line : lines) {
-            table.add(line.path(TIME).asText() + "  " + line.path("vm").asText("-") + "  "
+            table.add(line.path(TIMESTAMP).asText() + "  " + line.path("vm").asText("-") + "  "
                     + line.path(MESSAGE).asText());
             if (line.has(ATTEMPTS)) {
                 table.add("    route " + line.path("route").asText() + " of configuration "
@@ -98,25 +98,26 @@
         return table;
     }
 
-    private static void sort(JsonNode line, String requestId, List<JsonNode> own, List<JsonNode> ofEndpoints) {
+    private static void classify(
+            JsonNode line, String requestId, List<JsonNode> requestLines, List<JsonNode> endpointLines) {
         if (line.path(REQUEST).asText().equals(requestId)) {
-            own.add(line);
-        } else if (line.path(EVENT).asText().startsWith(ENDPOINT_EVENT)) {
-            ofEndpoints.add(line);
+            requestLines.add(line);
+        } else if (line.path(EVENT).asText().startsWith(ENDPOINT_EVENT_PREFIX)) {
+            endpointLines.add(line);
         }
     }
 
-    /** Each attempt begins with the id of its endpoint. */
-    private static Set<String> endpoints(List<JsonNode> own) {
+    /** Returns the ids of the endpoints that the request was sent to. The text of each attempt begins with this id. */
+    private static Set<String> attemptedEndpoints(List<JsonNode> requestLines) {
         Set<String> endpoints = new LinkedHashSet<>();
-        for (JsonNode line : own) {
+        for (JsonNode line : requestLines) {
             line.path(ATTEMPTS)
                     .forEach(attempt -> endpoints.add(attempt.asText().split(" ", 2)[0]));
         }
         return endpoints;
     }
 
-    private static boolean concerns(JsonNode line, Set<String> endpoints) {
+    private static boolean mentionsAny(JsonNode line, Set<String> endpoints) {
         String message = line.path(MESSAGE).asText();
         return endpoints.stream().anyMatch(message::contains);
     }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/package-info.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The commands of the operator's command line; not API.
+ * The commands of the operator's command-line tool. Internal, not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-cli/src/main/java/org/radishpass/cli/package-info.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operator's command line.
+ * The operator's command-line tool.
  *
  * @since 0.1.0
  */
--- a/radishpass-cli/src/test/java/org/radishpass/cli/internal/LossesTest.java
+++ b/radishpass-cli/src/test/java/org/radishpass/cli/internal/LossesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks that each line of a request that was not answered in time gets its cause. */
+/** Tests the causes and counts of requests that were not answered in time. */
 final class LossesTest {
     @TempDir
     private Path directory = Path.of("");
@@ -38,22 +38,22 @@
         "LATE_CONNECTION, 200, 500, answered, chosen 0 sent 350 head 500",
         "LATE_ENDPOINT, 200, 500, answered, chosen 0 sent 1 head 500",
     })
-    void aRequestThatWasNotAnsweredInTimeHasACause(
-            String cause, int status, long began, String outcome, String attempts) throws Exception {
-        JsonNode sums = read(line(status, began, outcome, attempts)).json();
-        assertThat(sums.path("causes").path(cause).asInt()).isEqualTo(1);
+    void lostRequestIsCountedUnderItsCause(String cause, int status, long began, String outcome, String attempts)
+            throws Exception {
+        JsonNode json = read(line(status, began, outcome, attempts)).json();
+        assertThat(json.path("causes").path(cause).asInt()).isEqualTo(1);
     }
 
     @Test
-    void whatWasAnsweredInTimeIsNoLoss() throws Exception {
-        JsonNode sums =
+    void requestAnsweredInTimeIsNotALoss() throws Exception {
+        JsonNode json =
                 read(line(200, 80, "answered", "chosen 0 sent 1 head 80")).json();
-        assertThat(sums.path("inTime").asInt()).isEqualTo(1);
-        assertThat(sums.path("causes")).isEmpty();
+        assertThat(json.path("inTime").asInt()).isEqualTo(1);
+        assertThat(json.path("causes")).isEmpty();
     }
 
     @Test
-    void theSumsGoByWorkspaceRouteEndpointAndSecond() throws Exception {
+    void lossesAreCountedByWorkspaceRouteEndpointAndSecond() throws Exception {
         Losses losses = read(
                 line(504, -1, "the time for an answer is over", "chosen 0 sent 1 head -1"),
                 line(504, -1, "the time for an answer is over", "chosen 0 sent 1 head -1"));
@@ -74,18 +74,19 @@
     }
 
     private static String line(int status, long began, String outcome, String attempts) {
-        StringBuilder tries = new StringBuilder();
-        for (String each : attempts.split("\\|", -1)) {
-            if (!each.isEmpty()) {
-                tries.append(tries.isEmpty() ? "" : ",")
+        StringBuilder attemptList = new StringBuilder();
+        for (String attempt : attempts.split("\\|", -1)) {
+            if (!attempt.isEmpty()) {
+                attemptList
+                        .append(attemptList.isEmpty() ? "" : ",")
                         .append("\"i-7 rank 0 load 3/11 of 14 listAge 661 ")
-                        .append(each)
+                        .append(attempt)
                         .append('"');
             }
         }
         return "{\"@timestamp\":\"2026-03-11T08:00:01.000Z\",\"event\":\"request\",\"message\":\"request 9c41 "
                 + outcome
                 + "\",\"route\":\"chat\",\"workspace\":\"mill\",\"status\":" + status + ",\"target\":400,\"began\":"
-                + began + ",\"attempts\":[" + tries + "]}";
+                + began + ",\"attempts\":[" + attemptList + "]}";
     }
 }
--- a/radishpass-cli/src/test/java/org/radishpass/cli/internal/OperationsPageTest.java
+++ b/radishpass-cli/src/test/java/org/radishpass/cli/internal/OperationsPageTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Holds the examples of docs/OPERATIONS.md to what the command prints. */
+/** Tests that the examples in docs/OPERATIONS.md match the output of {@code radishpass explain}. */
 final class OperationsPageTest {
     private static final Path ROOT = Path.of("..");
     private static final String LOGS = "examples/operations/";
 
     @ParameterizedTest
     @ValueSource(strings = {"1c062e1759443464", "5be19481d3f5ac7a", "dc538411d2fa66ac"})
-    void thePageShowsWhatTheCommandPrints(String requestId) throws IOException {
+    void pageShowsTheOutputOfExplain(String requestId) throws IOException {
         String page = Files.readString(ROOT.resolve("docs/OPERATIONS.md"));
         String command = page.lines()
                 .filter(line -> line.startsWith("radishpass explain " + requestId))
--- a/radishpass-cli/src/test/java/org/radishpass/cli/internal/RequestHistoryTest.java
+++ b/radishpass-cli/src/test/java/org/radishpass/cli/internal/RequestHistoryTest.java
@@ -9,10 +9,10 @@
 import java.util.Objects;
 import org.junit.jupiter.api.Test;
 
-/** Checks that a request's lines are put together from the logs of several routers. */
+/** Tests how the lines of a request are collected from the logs of several routers. */
 final class RequestHistoryTest {
     @Test
-    void theLinesOfARequestAndOfItsEndpointsComeInTheOrderOfTime() throws Exception {
+    void linesOfARequestAndItsEndpointsAreSortedByTime() throws Exception {
         RequestHistory history = read("9c41");
         assertThat(history.json().path("lines")).hasSize(2);
         assertThat(history.table())
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void aRequestThatNoLineNamesHasNoHistory() throws Exception {
+    void historyOfAnUnknownRequestIsEmpty() throws Exception {
         assertThat(read("unknown").empty()).isTrue();
     }
 
     @Test
-    void brokenLinesAreCountedAndLoseNothing() throws Exception {
-        assertThat(read("77aa").unreadable()).isEqualTo(1);
+    void unreadableLinesAreCountedAndOtherLinesAreKept() throws Exception {
+        assertThat(read("77aa").unreadableLines()).isEqualTo(1);
         assertThat(read("77aa").empty()).isFalse();
     }
 
--- a/radishpass-cli/src/test/java/org/radishpass/cli/internal/package-info.java
+++ b/radishpass-cli/src/test/java/org/radishpass/cli/internal/package-info.java
@@ -1,4 +1,4 @@
-/** Checks of the operator's shell. */
+/** Tests of the operator's command-line tool. */
 @NullMarked
 package org.radishpass.cli.internal;
 
