--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/CommandName.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/CommandName.java
@@ -58,7 +58,7 @@
         return needsFiles;
     }
 
-    /** Tells whether the address of a router or controller is required. */
+    /** Tells whether the address of a router or controller is required, unless router logs are given. */
     public boolean needsServers() {
         return needsServers;
     }
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/LossCause.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/LossCause.java
@@ -84,7 +84,7 @@
             return outcomeContains(request, "broken off");
         }
     },
-    /** The request failed at more than one endpoint and was answered with an error. */
+    /** The request was answered with an error after more than one attempt. */
     ERROR_AT_EACH("error at each endpoint") {
         @Override
         boolean matches(LoggedRequest request) {
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
@@ -22,7 +22,8 @@
 /**
  * The reconciliation loop of a controller.
  *
- * <p>Each round refreshes the configuration and the VM list, renews the leases, and then reconciles the engines.
+ * <p>Each round starts to refresh the configuration and the VM list, renews the leases, and then reconciles the engines
+ * with the newest configuration and list received so far.
  *
  * @since 0.1.0
  */
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
@@ -86,7 +86,7 @@
         return Set.copyOf(heldLeases.keySet());
     }
 
-    /** Renews leases that are due and acquires free ones, up to an equal part of the shares for each controller. */
+    /** Renews leases that are due, and acquires free ones up to this controller's equal part of the shares. */
     Mono<Void> runRound() {
         return tables.transact(readAllTransaction()).flatMap(result -> {
             if (!(result instanceof TableResult.Committed committed)) {
