--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/CacheCounts.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/CacheCounts.java
@@ -1,23 +1,26 @@
 package org.radishpass.simulation;
 
-/** What engines have read of prompts although some engine had read it, and what they have fetched from each other. */
+/**
+ * Counts the prompt tokens of shared parts that engines read although some engine had read them before, and the prompt
+ * tokens that engines fetched from each other.
+ */
 final class CacheCounts {
     private long readAgainTokens;
-    private long movedTokens;
+    private long fetchedTokens;
 
-    void readAgain(int tokens) {
+    void addReadAgain(int tokens) {
         readAgainTokens += tokens;
     }
 
-    void moved(int tokens) {
-        movedTokens += tokens;
+    void addFetched(int tokens) {
+        fetchedTokens += tokens;
     }
 
     long readAgainTokens() {
         return readAgainTokens;
     }
 
-    long movedTokens() {
-        return movedTokens;
+    long fetchedTokens() {
+        return fetchedTokens;
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Deployment.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Deployment.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import org.radishpass.routing.retry.RetryAllowance;
 
-/** What a simulation consists of. */
+/** The routers, endpoints, request classes and faults of one simulation. */
 final class Deployment {
     private final int routers;
-    private final List<EnginePool> engines;
-    private final List<PlainPool> plain;
-    private final List<RequestClass> classes;
+    private final List<EnginePool> enginePools;
+    private final List<PlainPool> plainPools;
+    private final List<RequestClass> requestClasses;
     private final List<Fault> faults;
-    private final RetryAllowance allowance;
+    private final RetryAllowance retryAllowance;
 
     private Deployment(Builder builder) {
         this.routers = builder.routers;
-        this.engines = List.copyOf(builder.engines);
-        this.plain = List.copyOf(builder.plain);
-        this.classes = List.copyOf(builder.classes);
+        this.enginePools = List.copyOf(builder.engines);
+        this.plainPools = List.copyOf(builder.plain);
+        this.requestClasses = List.copyOf(builder.classes);
         this.faults = List.copyOf(builder.faults);
-        this.allowance = builder.allowance;
+        this.retryAllowance = builder.retryAllowance;
     }
 
     static Builder builder() {
@@ -30,40 +30,40 @@
         return routers;
     }
 
-    List<EnginePool> engines() {
-        return engines;
+    List<EnginePool> enginePools() {
+        return enginePools;
     }
 
-    List<PlainPool> plain() {
-        return plain;
+    List<PlainPool> plainPools() {
+        return plainPools;
     }
 
-    List<RequestClass> classes() {
-        return classes;
+    List<RequestClass> requestClasses() {
+        return requestClasses;
     }
 
     List<Fault> faults() {
         return faults;
     }
 
-    RetryAllowance allowance() {
-        return allowance;
+    RetryAllowance retryAllowance() {
+        return retryAllowance;
     }
 
-    /** Engines of one service. */
+    /** The inference engines of one service, all with the same settings. */
     record EnginePool(String service, int count, EngineSettings settings) {}
 
-    /** Endpoints of one plain service. */
+    /** The endpoints of one plain service, all with the same number of slots and the same queue capacity. */
     record PlainPool(String service, int count, int slots, int queue) {}
 
-    /** Describes a deployment. */
+    /** Collects the parts of a deployment. */
     static final class Builder {
         private final List<EnginePool> engines = new ArrayList<>();
         private final List<PlainPool> plain = new ArrayList<>();
         private final List<RequestClass> classes = new ArrayList<>();
         private final List<Fault> faults = new ArrayList<>();
         private int routers = 1;
-        private RetryAllowance allowance = RetryAllowance.DEFAULT;
+        private RetryAllowance retryAllowance = RetryAllowance.DEFAULT;
 
         Builder routers(int count) {
             this.routers = count;
@@ -80,7 +80,7 @@
             return this;
         }
 
-        Builder requests(RequestClass requestClass) {
+        Builder requestClass(RequestClass requestClass) {
             classes.add(requestClass);
             return this;
         }
@@ -90,8 +90,8 @@
             return this;
         }
 
-        Builder allowance(RetryAllowance retries) {
-            this.allowance = retries;
+        Builder retryAllowance(RetryAllowance retries) {
+            this.retryAllowance = retries;
             return this;
         }
 
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/EngineSettings.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/EngineSettings.java
@@ -1,15 +1,16 @@
 package org.radishpass.simulation;
 
 /**
- * How fast engines are.
+ * The capacity and speed of a simulated inference engine.
  *
- * @param slots the requests that one runs at once
- * @param memoryTokens the tokens that its memory holds, of running requests and of cached prompts
- * @param stepMillis what one step takes at least, in milliseconds; each running request gets one token in a step
- * @param startMillis what a request takes beside, until its first token, in milliseconds
- * @param perRequestMillis by how much each running request makes a step longer, in milliseconds
- * @param readTokensPerMilli the prompt tokens that are read in a millisecond
- * @param chunkTokens the most prompt tokens that are read in one step, between the tokens of running requests
+ * @param slots the requests that an engine runs at once
+ * @param memoryTokens the tokens that the memory of an engine holds, for running requests and cached prompts together
+ * @param stepMillis the minimum duration of a step, in milliseconds; in a step, each running request whose prompt has
+ *     been read gets one token
+ * @param startMillis the fixed delay before the engine begins to read the prompt of a request, in milliseconds
+ * @param perRequestMillis the time that each running request adds to a step, in milliseconds
+ * @param readTokensPerMilli the prompt tokens that an engine reads in a millisecond
+ * @param chunkTokens the maximum number of prompt tokens that an engine reads in one step, over all running requests
  */
 record EngineSettings(
         int slots,
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/ExperimentFile.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/ExperimentFile.java
@@ -8,17 +8,17 @@
 import org.radishpass.routing.retry.RetryAllowance;
 
 /**
- * An experiment as a YAML file describes it.
+ * The contents of an experiment's YAML file. The names of the components are the keys of the file.
  *
- * @param routers how many routers
- * @param retryRatio the fraction of the requests that all routers may send again
- * @param retryExtra the requests beyond that, in ten seconds
- * @param fromMillis requests are counted from then on, in milliseconds
- * @param untilMillis requests come until then, in milliseconds
- * @param engines the services of engines
- * @param plain the plain services
- * @param classes the classes of requests
- * @param faults what goes wrong
+ * @param routers the number of routers
+ * @param retryRatio the part of the requests that all routers together may send a second time
+ * @param retryExtra the requests that all routers together may send a second time beyond that part, in ten seconds
+ * @param fromMillis the virtual time from which requests are counted, in milliseconds
+ * @param untilMillis the virtual time at which the last requests arrive, in milliseconds
+ * @param engines the pools of inference engines
+ * @param plain the pools of plain endpoints, which don't run models
+ * @param classes the request classes
+ * @param faults the faults to inject
  */
 record ExperimentFile(
         int routers,
@@ -33,10 +33,10 @@
     private static final long RETRY_WINDOW_MILLIS = 10_000;
 
     /**
-     * Reads a file.
+     * Reads an experiment from a YAML file.
      *
-     * @param file the file
-     * @throws IOException if it cannot be read, or a field is missing, unknown or of the wrong type
+     * @param file the YAML file
+     * @throws IOException if the file cannot be read, or a field is missing, unknown or of the wrong type
      */
     static ExperimentFile read(Path file) throws IOException {
         return new YAMLMapper()
@@ -44,14 +44,14 @@
                 .readValue(Files.readAllBytes(file), ExperimentFile.class);
     }
 
-    /** Returns the deployment that it describes. */
+    /** Returns the deployment that this file describes. */
     Deployment deployment() {
         Deployment.Builder deployment = Deployment.builder()
                 .routers(routers)
-                .allowance(new RetryAllowance(retryRatio, retryExtra, RETRY_WINDOW_MILLIS));
+                .retryAllowance(new RetryAllowance(retryRatio, retryExtra, RETRY_WINDOW_MILLIS));
         engines.forEach(pool -> deployment.engines(pool.service(), pool.count(), pool.settings()));
         plain.forEach(pool -> deployment.plain(pool.service(), pool.count(), pool.slots(), pool.queue()));
-        classes.forEach(deployment::requests);
+        classes.forEach(deployment::requestClass);
         faults.forEach(deployment::fault);
         return deployment.build();
     }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Fleet.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Fleet.java
@@ -9,65 +9,68 @@
 import org.radishpass.core.fleet.DataCentre;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** All endpoints: as routers know them, and as models. Every router has the same list at once. */
+/**
+ * The endpoints of a simulation, with the list of them that all routers see. A change of the list reaches every router
+ * at once.
+ */
 final class Fleet {
     private static final int PORT = 1;
 
-    private final Map<String, SimulatedEndpoint> models = new HashMap<>();
-    private final List<ServiceEndpoint> known = new ArrayList<>();
-    private int added;
+    private final Map<String, SimulatedEndpoint> simulatedEndpoints = new HashMap<>();
+    private final List<ServiceEndpoint> listed = new ArrayList<>();
+    private int addedEndpoints;
 
     /**
-     * Lets an endpoint join.
+     * Adds an endpoint to the list.
      *
-     * @param service the service that it answers for
-     * @param slots the requests that it runs at once
-     * @param model what works behind it
+     * @param service the service that the endpoint belongs to
+     * @param slots the requests that the endpoint runs at once
+     * @param model the simulated endpoint that processes the requests
      */
     void join(String service, int slots, SimulatedEndpoint model) {
-        String id = service + "-" + added++;
-        models.put(id, model);
-        known.add(new ServiceEndpoint(
-                id, service, new Address("10.0.0." + added, PORT), new DataCentre("dc"), slots, false));
+        String id = service + "-" + addedEndpoints++;
+        simulatedEndpoints.put(id, model);
+        listed.add(new ServiceEndpoint(
+                id, service, new Address("10.0.0." + addedEndpoints, PORT), new DataCentre("dc"), slots, false));
     }
 
-    /** Lets an endpoint say that it leaves: it finishes what it has. */
-    void leave(ServiceEndpoint endpoint) {
-        known.replaceAll(each -> each.id().equals(endpoint.id()) ? each.asLeaving() : each);
+    /** Marks an endpoint as leaving: the endpoint gets no new requests and finishes those that it has. */
+    void markLeaving(ServiceEndpoint endpoint) {
+        listed.replaceAll(each -> each.id().equals(endpoint.id()) ? each.asLeaving() : each);
     }
 
-    /** Removes an endpoint. */
+    /** Removes an endpoint from the list. Runs that the endpoint has still end. */
     void remove(ServiceEndpoint endpoint) {
-        known.removeIf(each -> each.id().equals(endpoint.id()));
+        listed.removeIf(each -> each.id().equals(endpoint.id()));
     }
 
-    /** Returns the endpoints of a service that take new work. */
-    List<ServiceEndpoint> open(String service) {
-        return known.stream()
+    /** Returns the endpoints of a service that are not leaving. */
+    List<ServiceEndpoint> acceptingEndpoints(String service) {
+        return listed.stream()
                 .filter(each -> each.service().equals(service) && !each.leaving())
                 .toList();
     }
 
-    /** Returns all endpoints of a service, those that leave included. */
-    List<ServiceEndpoint> all(String service) {
-        return known.stream().filter(each -> each.service().equals(service)).toList();
+    /** Returns all endpoints of a service, including those that are leaving. */
+    List<ServiceEndpoint> endpoints(String service) {
+        return listed.stream().filter(each -> each.service().equals(service)).toList();
     }
 
-    /** Returns all endpoints. */
-    List<ServiceEndpoint> all() {
-        return List.copyOf(known);
+    /** Returns all endpoints of all services, including those that are leaving. */
+    List<ServiceEndpoint> endpoints() {
+        return List.copyOf(listed);
     }
 
-    /** Returns the mean of the runs that the endpoints of a service have. */
+    /** Returns the mean number of running and waiting runs per endpoint of a service that is not leaving. */
     double meanLoad(String service) {
-        return open(service).stream()
-                .mapToInt(endpoint -> model(endpoint).load())
+        return acceptingEndpoints(service).stream()
+                .mapToInt(endpoint -> simulatedEndpoint(endpoint).load())
                 .average()
                 .orElse(0);
     }
 
-    /** Returns the model behind an endpoint. */
-    SimulatedEndpoint model(ServiceEndpoint endpoint) {
-        return Objects.requireNonNull(models.get(endpoint.id()), endpoint.id());
+    /** Returns the simulated endpoint that belongs to an entry of the list. */
+    SimulatedEndpoint simulatedEndpoint(ServiceEndpoint endpoint) {
+        return Objects.requireNonNull(simulatedEndpoints.get(endpoint.id()), endpoint.id());
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Report.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Report.java
@@ -5,20 +5,26 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What came of the requests that began within a span of time. */
+/**
+ * Counts the outcomes of the requests that arrived within a span of virtual time. Second tries, rejections and tokens
+ * are counted over the whole simulation.
+ */
 final class Report {
-    private static final int DIGITS = 3;
+    private static final int HISTOGRAM_DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1_000;
     private static final double TAIL_PERCENTILE = 99;
 
-    /** The bound on the load of one endpoint that users set: this multiple of the mean, and this much more. */
-    private static final double BOUND_FACTOR = 2;
+    /**
+     * An endpoint is above the load bound that users set if its load exceeds this multiple of the service's mean load
+     * plus {@link #LOAD_BOUND_SLACK}.
+     */
+    private static final double LOAD_BOUND_FACTOR = 2;
 
-    private static final double BOUND_SLACK = 3;
+    private static final double LOAD_BOUND_SLACK = 3;
 
     private final double fromMillis;
     private final double untilMillis;
-    private final CacheCounts cache;
+    private final CacheCounts cacheCounts;
     private final Map<String, Counts> byClass = new TreeMap<>();
     private int secondTries;
     private int rejections;
@@ -28,19 +34,22 @@
     /**
      * Creates an empty report.
      *
-     * @param fromMillis requests that begin earlier are not counted
-     * @param untilMillis nor are those that begin later
-     * @param cache what engines read again and moved, over the whole run
+     * @param fromMillis the start of the span, in milliseconds; requests that arrive earlier are not counted
+     * @param untilMillis the end of the span, in milliseconds; requests that arrive then or later are not counted
+     * @param cache the prompt tokens that engines read again and fetched, over the whole simulation
      */
     Report(double fromMillis, double untilMillis, CacheCounts cache) {
         this.fromMillis = fromMillis;
         this.untilMillis = untilMillis;
-        this.cache = cache;
+        this.cacheCounts = cache;
     }
 
-    /** A request's whole answer has come, which began after a while. */
-    void served(RequestClass requestClass, double startedAtMillis, double firstByteMillis) {
-        if (counted(startedAtMillis)) {
+    /**
+     * Counts a request whose complete answer has arrived. The first byte came after the given time since the request's
+     * arrival.
+     */
+    void answered(RequestClass requestClass, double startedAtMillis, double firstByteMillis) {
+        if (isCounted(startedAtMillis)) {
             Counts counts = counts(requestClass);
             counts.firstByte.recordValue(Math.round(firstByteMillis * MICROS_PER_MILLI));
             if (firstByteMillis <= requestClass.latencyTargetMillis()) {
@@ -49,55 +58,55 @@
         }
     }
 
-    /** A request was refused and has not run. */
+    /** Counts a request that the router refused and that has not run. */
     void refused(RequestClass requestClass, double startedAtMillis) {
-        if (counted(startedAtMillis)) {
+        if (isCounted(startedAtMillis)) {
             counts(requestClass).refused++;
         }
     }
 
-    /** A request had no whole answer at its deadline. */
+    /** Counts a request without a complete answer at its deadline. */
     void failed(RequestClass requestClass, double startedAtMillis) {
-        if (counted(startedAtMillis)) {
+        if (isCounted(startedAtMillis)) {
             counts(requestClass).failed++;
         }
     }
 
     /**
-     * A request has reached an endpoint.
+     * Counts an attempt that has reached an endpoint.
      *
-     * @param startedAtMillis when the request began
-     * @param load the runs that the endpoint had
-     * @param mean the mean of its service's endpoints
+     * @param startedAtMillis the virtual time at which the request arrived at the router, in milliseconds
+     * @param load the number of runs that the endpoint had before
+     * @param mean the mean number of runs of the service's endpoints
      */
     void reached(double startedAtMillis, int load, double mean) {
-        if (counted(startedAtMillis)) {
+        if (isCounted(startedAtMillis)) {
             reached++;
-            aboveBound += load > BOUND_FACTOR * mean + BOUND_SLACK ? 1 : 0;
+            aboveBound += load > LOAD_BOUND_FACTOR * mean + LOAD_BOUND_SLACK ? 1 : 0;
         }
     }
 
-    /** Returns the part of the arrivals that found an endpoint above twice the mean of its service and three. */
+    /** Returns the part of the attempts that reached an endpoint above the load bound. */
     double aboveBound() {
         return (double) aboveBound / Math.max(1, reached);
     }
 
-    /** A request was sent to another endpoint because the first was silent or slow. */
+    /** Counts a request that was sent to another endpoint because the first was silent or slow. */
     void triedAgain() {
         secondTries++;
     }
 
-    /** An endpoint has rejected a request. */
+    /** Counts a rejection of a request by an endpoint. */
     void rejected() {
         rejections++;
     }
 
-    /** Returns how many requests endpoints have rejected. */
+    /** Returns the number of rejections by endpoints, over the whole simulation. */
     int rejections() {
         return rejections;
     }
 
-    private boolean counted(double startedAtMillis) {
+    private boolean isCounted(double startedAtMillis) {
         return startedAtMillis >= fromMillis && startedAtMillis < untilMillis;
     }
 
@@ -105,48 +114,50 @@
         return byClass.computeIfAbsent(requestClass.name(), name -> new Counts());
     }
 
-    /** Returns the part of all requests whose answers began in time and came whole. */
+    /** Returns the part of all counted requests whose answers began within the latency target and were complete. */
     double inTime() {
         return (double) byClass.values().stream().mapToInt(each -> each.inTime).sum() / asked();
     }
 
-    /** Returns the part of a class's requests whose answers began in time and came whole. */
+    /**
+     * Returns the part of a class's counted requests whose answers began within the latency target and were complete.
+     */
     double inTime(String requestClass) {
         Counts counts = byClass.getOrDefault(requestClass, new Counts());
         return (double) counts.inTime / Math.max(1, counts.asked());
     }
 
-    /** Returns how many requests were counted. */
+    /** Returns the number of counted requests, but at least 1. */
     int asked() {
         return Math.max(1, byClass.values().stream().mapToInt(Counts::asked).sum());
     }
 
-    /** Returns how many requests were refused. */
+    /** Returns the number of counted requests that were refused. */
     int refused() {
         return byClass.values().stream().mapToInt(each -> each.refused).sum();
     }
 
-    /** Returns how many requests had no whole answer at their deadline. */
+    /** Returns the number of counted requests without a complete answer at their deadline. */
     int failed() {
         return byClass.values().stream().mapToInt(each -> each.failed).sum();
     }
 
-    /** Returns how many requests were sent again, over the whole run. */
+    /** Returns how often a request was sent to another endpoint, over the whole simulation; rejections don't count. */
     int secondTries() {
         return secondTries;
     }
 
-    /** Returns the tokens of shared parts that were read again, over the whole run. */
+    /** Returns the tokens of shared prompt parts that were read again, over the whole simulation. */
     long readAgainTokens() {
-        return cache.readAgainTokens();
+        return cacheCounts.readAgainTokens();
     }
 
-    /** Returns the tokens that were moved between engines, over the whole run. */
-    long movedTokens() {
-        return cache.movedTokens();
+    /** Returns the prompt tokens that engines fetched from each other, over the whole simulation. */
+    long fetchedTokens() {
+        return cacheCounts.fetchedTokens();
     }
 
-    /** Returns a table for people: a line a class, then the sums. */
+    /** Returns a table for display, with one line per request class and a line of totals. */
     String table() {
         StringBuilder text = new StringBuilder();
         byClass.forEach((name, counts) -> text.append(String.format(
@@ -169,14 +180,14 @@
                 failed(),
                 secondTries,
                 readAgainTokens(),
-                movedTokens(),
+                fetchedTokens(),
                 aboveBound()));
         return text.toString();
     }
 
-    /** What came of one class. */
+    /** The outcomes of the requests of one class. */
     private static final class Counts {
-        private final Histogram firstByte = new Histogram(DIGITS);
+        private final Histogram firstByte = new Histogram(HISTOGRAM_DIGITS);
         private int inTime;
         private int refused;
         private int failed;
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/RequestClass.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/RequestClass.java
@@ -3,21 +3,23 @@
 import org.radishpass.routing.config.RequestKind;
 
 /**
- * A class of requests.
+ * A class of similar requests: which service they go to, how often they arrive, and how much work they are.
  *
- * @param name its name; also that of its route and, for engines, of the part of the prompt that all of them share
- * @param service the service that answers it
- * @param kind what may be done with it
- * @param perSecond how many come in a second, over all routers
- * @param latencyTargetMillis the time within which an answer should begin, in milliseconds
- * @param deadlineMillis how long a caller waits, in milliseconds
- * @param attempts the endpoints that it may be sent to
- * @param subjects how many different subjects are asked about; each has a part of the prompt of its own
+ * @param name the name of the class; also the key of its latency statistics and, for engines, of the prompt part that
+ *     all its requests share
+ * @param service the service that answers the requests
+ * @param kind whether a request may run more than once, and whether its stream can be resumed
+ * @param perSecond the requests that arrive in a second, over all routers
+ * @param latencyTargetMillis the time from the arrival of a request within which its answer should begin, in
+ *     milliseconds
+ * @param deadlineMillis the time that a caller waits for the whole answer, in milliseconds
+ * @param attempts the maximum number of attempts at one request; attempts that an endpoint rejects don't count
+ * @param subjects the number of different subjects; requests on the same subject share a part of the prompt
  * @param commonTokens the prompt tokens that all requests of the class share
- * @param subjectTokens the prompt tokens that requests on one subject share
- * @param ownTokens the prompt tokens of the request alone
- * @param outputTokens the mean of the tokens that are generated; plain services ignore all tokens
- * @param workMillis the mean work of a plain service, in milliseconds; engines ignore it
+ * @param subjectTokens the prompt tokens that only requests on the same subject share
+ * @param ownTokens the prompt tokens that no other request shares
+ * @param outputTokens the mean number of generated tokens; 0 for plain services, which ignore all token counts
+ * @param workMillis the mean processing time at a plain service, in milliseconds; engines ignore this value
  */
 record RequestClass(
         String name,
@@ -33,8 +35,8 @@
         int ownTokens,
         int outputTokens,
         double workMillis) {
-    /** Returns this class at another rate. */
-    RequestClass times(double factor) {
+    /** Returns this class with its arrival rate multiplied by a factor. */
+    RequestClass withRateTimes(double factor) {
         return new RequestClass(
                 name,
                 service,
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Run.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Run.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** One run of a request at one endpoint, as the endpoint sees it. */
+/** One execution of a request at one endpoint. */
 final class Run {
     private final RequestClass requestClass;
     private final List<CachedPart> parts;
@@ -14,17 +14,17 @@
     private final Listener listener;
     private int unreadTokens;
     private int generatedTokens;
-    private boolean over;
+    private boolean ended;
 
     /**
-     * Creates a run.
+     * Creates a run that has not been started.
      *
-     * @param requestClass its class
-     * @param parts the parts of its prompt, the last its own
-     * @param outputTokens the tokens that it generates
-     * @param workMillis the work at a plain service, in milliseconds
-     * @param cacheHolder an engine that its cache may be fetched from, or null
-     * @param listener hears of its begin and end
+     * @param requestClass the class of the request
+     * @param parts the parts of the prompt, in order; the last part belongs to this request only
+     * @param outputTokens the number of tokens that the engine generates
+     * @param workMillis the processing time at a plain service, in milliseconds
+     * @param cacheHolder an engine that the cached prompt may be fetched from, or null
+     * @param listener is told when the answer begins and ends, and when the endpoint rejects the run
      */
     Run(
             RequestClass requestClass,
@@ -63,84 +63,84 @@
         return cacheHolder;
     }
 
-    void unread(int tokens) {
+    void unreadTokens(int tokens) {
         unreadTokens = tokens;
     }
 
-    /** Reads some of the prompt; returns how many tokens were read. */
-    int read(int most) {
-        int now = Math.min(most, unreadTokens);
-        unreadTokens -= now;
-        return now;
+    /** Marks up to a number of unread prompt tokens as read, and returns how many were marked. */
+    int readPrompt(int maxTokens) {
+        int readNow = Math.min(maxTokens, unreadTokens);
+        unreadTokens -= readNow;
+        return readNow;
     }
 
     boolean wholePromptRead() {
         return unreadTokens == 0;
     }
 
-    /** Generates a token; the first begins the answer, the last ends it. */
-    void generate() {
+    /** Generates one token. The first token begins the answer, and the last token ends the answer. */
+    void generateToken() {
         generatedTokens++;
         if (generatedTokens == 1) {
-            listener.begun();
+            listener.answerBegan();
         }
         if (generatedTokens >= outputTokens) {
-            finish();
+            endAnswer();
         }
     }
 
-    void begin() {
-        listener.begun();
+    void beginAnswer() {
+        listener.answerBegan();
     }
 
-    void finish() {
-        if (!over) {
-            over = true;
-            listener.ended();
+    void endAnswer() {
+        if (!ended) {
+            ended = true;
+            listener.answerEnded();
         }
     }
 
     /**
-     * The endpoint has rejected it.
+     * Ends this run because the endpoint rejects it.
      *
-     * @param backoffMillis its Retry-After, in milliseconds; 0 without one
+     * @param backoffMillis the endpoint's Retry-After, in milliseconds; 0 if the endpoint sends none
      */
-    void refuse(long backoffMillis) {
-        over = true;
-        listener.notRun(backoffMillis);
+    void reject(long backoffMillis) {
+        ended = true;
+        listener.rejected(backoffMillis);
     }
 
-    /** The router has closed the connection. */
+    /** Ends this run because the router has closed the connection. The listener is not told. */
     void cancel() {
-        over = true;
+        ended = true;
     }
 
-    boolean over() {
-        return over;
+    boolean ended() {
+        return ended;
     }
 
     /**
-     * A part of a prompt together with all before it.
+     * A cacheable part of a prompt.
      *
-     * @param key names it and what is before it
-     * @param tokens its own tokens
-     * @param shared whether other requests may have it too
+     * @param key the hash of this part and all parts before it
+     * @param tokens the tokens of this part alone
+     * @param shared whether prompts of other requests may contain this part too
      */
     record CachedPart(long key, int tokens, boolean shared) {}
 
-    /** Hears what becomes of a run. */
+    /** Receives the events of a run. */
     interface Listener {
-        /** The answer has begun. */
-        void begun();
+        /** Handles the beginning of the answer. */
+        void answerBegan();
 
-        /** The answer is whole. */
-        void ended();
+        /** Handles the end of the complete answer. */
+        void answerEnded();
 
         /**
-         * It has not run and never will.
+         * Handles a rejection by the endpoint: the request has not run and will not run there.
          *
-         * @param backoffMillis the endpoint's Retry-After, in milliseconds; 0 without one
+         * @param backoffMillis the endpoint's Retry-After, in milliseconds; 0 if the endpoint sends none
          */
-        void notRun(long backoffMillis);
+        void rejected(long backoffMillis);
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEndpoint.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEndpoint.java
@@ -1,31 +1,31 @@
 package org.radishpass.simulation;
 
-/** An endpoint as a model, and what can go wrong with it. */
+/** A model of an endpoint whose faults can be switched on and off. */
 interface SimulatedEndpoint {
-    /** Takes a run. */
+    /** Starts a run, queues it, or rejects it. */
     void submit(Run run);
 
     /**
-     * From now on it works slower.
+     * Sets the speed of this endpoint for work that starts from now on.
      *
-     * @param factor how many times as long its work takes; 1 is sound
+     * @param factor the factor by which work takes longer; 1 is the normal speed
      */
     void slowBy(double factor);
 
-    /** From now on it is silent, or it works again. Connections to a silent one are not made. */
+    /** Makes this endpoint silent, or lets it work again. Connection attempts to a silent endpoint time out. */
     void silent(boolean isSilent);
 
     /**
-     * From now on it takes few new runs and rejects the others, or it takes all that it has room for.
+     * Starts or stops the rejection of new runs while this endpoint has more than a number of runs.
      *
-     * @param most the runs that it has at most when it takes another one
-     * @param backoffMillis its Retry-After, in milliseconds; 0 if it rejects none
+     * @param maxLoad the maximum number of runs at which this endpoint still accepts another run
+     * @param backoffMillis the Retry-After of rejections, in milliseconds; 0 stops these rejections
      */
-    void shed(int most, long backoffMillis);
+    void shed(int maxLoad, long backoffMillis);
 
-    /** Tells whether it is silent. */
+    /** Returns whether this endpoint is silent. */
     boolean isSilent();
 
-    /** Returns the runs that it has, those that wait included. */
+    /** Returns the number of runs at this endpoint, running and waiting. */
     int load();
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEngine.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEngine.java
@@ -9,51 +9,53 @@
 import java.util.Set;
 
 /**
- * A model engine: it works in steps, in each of which every running request gets a token and a chunk of the unread prompts is
- * read, so that long prompts delay the tokens of all. Prompts stay in its memory until others need the room.
+ * A model of an inference engine that works in steps. In each step, the engine reads a chunk of the unread prompts, and
+ * every running request whose prompt has been read gets one token. Long prompts therefore delay the tokens of all
+ * requests. Prompts stay cached until their memory is needed, and the least recently used prompt parts are evicted
+ * first.
  *
- * <p>Left out: preemption (the sum of memory is counted, not enforced on running requests) and the time that a fetched cache
- * takes on the way.
+ * <p>The model omits preemption: running requests count towards the memory, but are never stopped when memory runs out.
+ * It also omits the time that it takes to transfer a cached prompt from another engine.
  */
 final class SimulatedEngine implements SimulatedEndpoint {
     private final Timeline timeline;
     private final EngineSettings settings;
-    private final CacheCounts counts;
-    private final Set<Long> everRead;
+    private final CacheCounts cacheCounts;
+    private final Set<Long> everReadParts;
     private final Deque<Run> waiting = new ArrayDeque<>();
     private final List<Run> running = new ArrayList<>();
     private final Map<Long, Integer> cache = new LinkedHashMap<>(16, 0.75F, true);
     private long cachedTokens;
     private double slowFactor = 1;
     private boolean silent;
-    private int shedsFrom;
+    private int maxAcceptingLoad;
     private long backoffMillis;
-    private boolean stepping;
-    private int starting;
+    private boolean stepInProgress;
+    private int startingRuns;
 
     /**
      * Creates an idle engine with an empty cache.
      *
-     * @param timeline the virtual time
-     * @param settings how fast it is
-     * @param counts counts what is read again and moved, over all engines
-     * @param everRead the shared parts that any engine has read
+     * @param timeline the virtual clock on which steps are scheduled
+     * @param settings the capacity and speed of the engine
+     * @param counts counts the prompt tokens that are read again or fetched, over all engines
+     * @param everRead the keys of the shared prompt parts that any engine has read
      */
     SimulatedEngine(Timeline timeline, EngineSettings settings, CacheCounts counts, Set<Long> everRead) {
         this.timeline = timeline;
         this.settings = settings;
-        this.counts = counts;
-        this.everRead = everRead;
+        this.cacheCounts = counts;
+        this.everReadParts = everRead;
     }
 
     @Override
     public void submit(Run run) {
-        if (backoffMillis > 0 && load() > shedsFrom) {
-            run.refuse(backoffMillis);
+        if (backoffMillis > 0 && load() > maxAcceptingLoad) {
+            run.reject(backoffMillis);
             return;
         }
         waiting.add(run);
-        step();
+        startStep();
     }
 
     @Override
@@ -64,12 +66,12 @@
     @Override
     public void silent(boolean isSilent) {
         silent = isSilent;
-        step();
+        startStep();
     }
 
     @Override
-    public void shed(int most, long newBackoffMillis) {
-        shedsFrom = most;
+    public void shed(int maxLoad, long newBackoffMillis) {
+        maxAcceptingLoad = maxLoad;
         backoffMillis = newBackoffMillis;
     }
 
@@ -80,95 +82,97 @@
 
     @Override
     public int load() {
-        return starting + running.size() + waiting.size();
+        return startingRuns + running.size() + waiting.size();
     }
 
-    private void step() {
-        if (stepping || silent) {
+    private void startStep() {
+        if (stepInProgress || silent) {
             return;
         }
-        running.removeIf(Run::over);
-        waiting.removeIf(Run::over);
-        while (starting + running.size() < settings.slots() && !waiting.isEmpty()) {
-            start(waiting.remove());
+        running.removeIf(Run::ended);
+        waiting.removeIf(Run::ended);
+        while (startingRuns + running.size() < settings.slots() && !waiting.isEmpty()) {
+            startRun(waiting.remove());
         }
         if (running.isEmpty()) {
             return;
         }
-        int read = readChunk();
+        int read = readPromptChunk();
         double millis = settings.stepMillis()
                 + settings.perRequestMillis() * running.size()
                 + read / settings.readTokensPerMilli();
-        stepping = true;
-        timeline.after(millis * slowFactor, this::stepped);
+        stepInProgress = true;
+        timeline.schedule(millis * slowFactor, this::finishStep);
     }
 
-    private int readChunk() {
+    private int readPromptChunk() {
         int read = 0;
         for (Run run : running) {
-            read += run.read(settings.chunkTokens() - read);
+            read += run.readPrompt(settings.chunkTokens() - read);
         }
         return read;
     }
 
-    private void stepped() {
-        stepping = false;
+    private void finishStep() {
+        stepInProgress = false;
         for (Run run : List.copyOf(running)) {
-            if (!run.over() && run.wholePromptRead()) {
-                run.generate();
+            if (!run.ended() && run.wholePromptRead()) {
+                run.generateToken();
             }
         }
-        step();
+        startStep();
     }
 
-    private void start(Run run) {
-        starting++;
-        timeline.after(settings.startMillis() * slowFactor, () -> {
-            starting--;
-            admit(run);
-            step();
+    private void startRun(Run run) {
+        startingRuns++;
+        timeline.schedule(settings.startMillis() * slowFactor, () -> {
+            startingRuns--;
+            beginReading(run);
+            startStep();
         });
     }
 
-    private void admit(Run run) {
+    private void beginReading(Run run) {
         running.add(run);
         int unread = 0;
         for (Run.CachedPart part : run.parts()) {
-            unread += unreadOf(part, run, unread > 0);
+            unread += unreadTokensOf(part, run, unread > 0);
         }
-        run.unread(unread);
+        run.unreadTokens(unread);
     }
 
-    /** A part is found only if all before it were. */
-    private int unreadOf(Run.CachedPart part, Run run, boolean oneBeforeIsMissing) {
-        if (!oneBeforeIsMissing && cache.containsKey(part.key())) {
+    /**
+     * Returns the tokens of a part that must be read. A part can be reused only if all parts before it were reused too.
+     */
+    private int unreadTokensOf(Run.CachedPart part, Run run, boolean earlierPartMissing) {
+        if (!earlierPartMissing && cache.containsKey(part.key())) {
             cache.get(part.key());
             return 0;
         }
         SimulatedEngine holder = run.cacheHolder();
-        boolean fetched = !oneBeforeIsMissing && holder != null && holder.keeps(part);
+        boolean fetched = !earlierPartMissing && holder != null && holder.hasCached(part);
         if (fetched) {
-            counts.moved(part.tokens());
-        } else if (part.shared() && !everRead.add(part.key())) {
-            counts.readAgain(part.tokens());
+            cacheCounts.addFetched(part.tokens());
+        } else if (part.shared() && !everReadParts.add(part.key())) {
+            cacheCounts.addReadAgain(part.tokens());
         }
-        keep(part);
+        addToCache(part);
         return fetched ? 0 : part.tokens();
     }
 
-    private boolean keeps(Run.CachedPart part) {
+    private boolean hasCached(Run.CachedPart part) {
         return !silent && cache.containsKey(part.key());
     }
 
-    private void keep(Run.CachedPart part) {
+    private void addToCache(Run.CachedPart part) {
         if (cache.put(part.key(), part.tokens()) == null) {
             cachedTokens += part.tokens();
         }
-        long needed = running.stream().mapToLong(Run::memoryTokens).sum();
-        var oldest = cache.entrySet().iterator();
-        while (cachedTokens + needed > settings.memoryTokens() && oldest.hasNext()) {
-            cachedTokens -= oldest.next().getValue();
-            oldest.remove();
+        long runningTokens = running.stream().mapToLong(Run::memoryTokens).sum();
+        var leastRecentlyUsed = cache.entrySet().iterator();
+        while (cachedTokens + runningTokens > settings.memoryTokens() && leastRecentlyUsed.hasNext()) {
+            cachedTokens -= leastRecentlyUsed.next().getValue();
+            leastRecentlyUsed.remove();
         }
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
@@ -13,45 +13,55 @@
 import org.radishpass.routing.placement.PlacementQuery;
 
 /**
- * The life of one request at a router. It follows the product's exchange in what is decided when; connections, bytes and the
- * verdict are left out.
+ * Handles one request at a simulated router, from its arrival to its answer, refusal or deadline. Decisions are made at
+ * the same points as in the production router. Connections, bytes and the verdict that a caller receives are not
+ * modelled.
  */
 final class SimulatedExchange {
-    /** Milliseconds of silence until a connection is tried, and half the time between two looks, as the product's. */
-    private static final double SILENCE_MILLIS = 450;
-
-    /** Milliseconds within which an endpoint must have been heard of to be given a second try, as the product's. */
-    private static final long SURELY_ALIVE_MILLIS = 150;
-
-    /** Milliseconds since an endpoint was heard of up to which an idle connection to it is used, as the product's. */
-    private static final long LIKELY_MILLIS = 1_000;
-
-    /** Rejections after which a request is refused, as the product's. */
-    private static final int MOST_REJECTIONS = 3;
+    /**
+     * Milliseconds after sending a request at which the router tests whether a silent endpoint still accepts
+     * connections: the silence that the production router tolerates, plus half the interval of its checks.
+     */
+    private static final double CONNECTION_CHECK_MILLIS = 450;
+
+    /**
+     * Milliseconds within which an endpoint must have sent something to be chosen for a later attempt at a request, as
+     * in the production router.
+     */
+    private static final long RETRY_HEARD_WITHIN_MILLIS = 150;
+
+    /**
+     * Milliseconds since an endpoint last sent something up to which an idle connection is reused, as in the production
+     * router.
+     */
+    private static final long REUSE_HEARD_WITHIN_MILLIS = 1_000;
+
+    /** Rejections after which a request may still be sent to another endpoint, as in the production router. */
+    private static final int MAX_REJECTIONS = 3;
 
     private final SimulatedRouter router;
     private final Timeline timeline;
     private final SimulatedRequest request;
     private final Report report;
-    private final List<String> tried = new ArrayList<>();
+    private final List<String> triedEndpointIds = new ArrayList<>();
     private final double startedAtMillis;
     private @Nullable Attempt attempt;
     private int sends;
     private int rejections;
     private double firstByteMillis;
-    private boolean over;
+    private boolean completed;
 
     SimulatedExchange(SimulatedRouter router, SimulatedRequest request, Report report) {
         this.router = router;
         this.timeline = router.timeline();
         this.request = request;
         this.report = report;
-        this.startedAtMillis = timeline.exactMillis();
+        this.startedAtMillis = timeline.exactNowMillis();
     }
 
     void start() {
-        router.budget().requested(requestClass().service(), timeline.millis());
-        timeline.after(requestClass().deadlineMillis(), this::expired);
+        router.retryBudget().requested(requestClass().service(), timeline.nowMillis());
+        timeline.schedule(requestClass().deadlineMillis(), this::deadlinePassed);
         attempt();
     }
 
@@ -60,9 +70,9 @@
     }
 
     private void attempt() {
-        Optional<PlacementChoice> choice = place(tried);
-        if (choice.isEmpty() || full(choice.get())) {
-            over = true;
+        Optional<PlacementChoice> choice = choosePlacement(triedEndpointIds);
+        if (choice.isEmpty() || isFull(choice.get())) {
+            completed = true;
             report.refused(requestClass(), startedAtMillis);
             return;
         }
@@ -74,40 +84,41 @@
         attempt.connect();
     }
 
-    private Optional<PlacementChoice> place(List<String> without) {
-        long now = timeline.millis();
+    private Optional<PlacementChoice> choosePlacement(List<String> excludedIds) {
+        long now = timeline.nowMillis();
         String service = requestClass().service();
-        List<ServiceEndpoint> candidates = new ArrayList<>(router.healthBook().usable(router.open(service), now));
-        candidates.removeIf(endpoint -> without.contains(endpoint.id()));
+        List<ServiceEndpoint> candidates =
+                new ArrayList<>(router.healthBook().usable(router.acceptingEndpoints(service), now));
+        candidates.removeIf(endpoint -> excludedIds.contains(endpoint.id()));
         if (sends > 0) {
-            candidates = router.healthBook().heardLately(candidates, SURELY_ALIVE_MILLIS, now);
+            candidates = router.healthBook().heardLately(candidates, RETRY_HEARD_WITHIN_MILLIS, now);
         }
         Optional<PromptShape> prompt = request.prompt();
         return router.chooser()
                 .choose(new PlacementQuery(
                         candidates,
                         candidates,
-                        router.healthBook().reachable(router.fleet().all(service), now),
+                        router.healthBook().reachable(router.fleet().endpoints(service), now),
                         prompt,
                         request.hash(),
-                        router.routers(),
+                        router.routerCount(),
                         now));
     }
 
-    private boolean full(PlacementChoice choice) {
+    private boolean isFull(PlacementChoice choice) {
         QueueLimit limit = request.prompt().isPresent() ? QueueLimit.ENGINE : QueueLimit.PLAIN;
         return choice.load() >= limit.requests(choice.endpoint().slots());
     }
 
-    private boolean mayRetry() {
+    private boolean takeRetry() {
         return sends - rejections < requestClass().attempts()
                 && requestClass().kind().mayRunAgain()
-                && router.budget().trySpend(requestClass().service(), timeline.millis());
+                && router.retryBudget().trySpend(requestClass().service(), timeline.nowMillis());
     }
 
-    private void expired() {
-        if (!over) {
-            over = true;
+    private void deadlinePassed() {
+        if (!completed) {
+            completed = true;
             stopAttempt();
             report.failed(requestClass(), startedAtMillis);
         }
@@ -117,38 +128,41 @@
         Attempt current = attempt;
         attempt = null;
         if (current != null) {
-            tried.add(current.endpoint.id());
+            triedEndpointIds.add(current.endpoint.id());
             current.stop();
         }
     }
 
-    /** One try at one endpoint. */
+    /** One attempt to have the request answered by one endpoint. */
     private final class Attempt implements Run.Listener {
         private final ServiceEndpoint endpoint;
         private final Run run;
         private double sentAtMillis;
-        private boolean began;
+        private boolean answerStarted;
         private boolean overdue;
-        private boolean tests;
+        private boolean testsAfterBackoff;
         private boolean ended;
 
         private Attempt(PlacementChoice choice) {
             this.endpoint = choice.endpoint();
             SimulatedEngine holder = choice.holder()
-                    .map(router.fleet()::model)
+                    .map(router.fleet()::simulatedEndpoint)
                     .filter(SimulatedEngine.class::isInstance)
                     .map(SimulatedEngine.class::cast)
                     .orElse(null);
             this.run = request.run(holder, this);
-            router.book().started(endpoint.id(), run.memoryTokens());
+            router.workInFlight().started(endpoint.id(), run.memoryTokens());
         }
 
         private void connect() {
-            long heardAgo = timeline.millis() - router.health(endpoint).heardAtMillis();
-            if (heardAgo <= LIKELY_MILLIS && requestClass().kind().mayRunAgain() && sends == 0) {
+            long millisSinceHeard =
+                    timeline.nowMillis() - router.health(endpoint).heardAtMillis();
+            if (millisSinceHeard <= REUSE_HEARD_WITHIN_MILLIS
+                    && requestClass().kind().mayRunAgain()
+                    && sends == 0) {
                 send();
             } else {
-                router.connect(endpoint, this::send, this::unreachable);
+                router.connect(endpoint, this::send, this::connectFailed);
             }
         }
 
@@ -157,54 +171,54 @@
                 return;
             }
             sends++;
-            tests = router.backoffs().sent(endpoint.id());
-            sentAtMillis = timeline.exactMillis();
-            request.prompt().ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.millis()));
-            timeline.after(SimulatedRouter.NETWORK_MILLIS, this::reach);
-            timeline.after(SILENCE_MILLIS, this::lookIntoSilence);
+            testsAfterBackoff = router.backoffs().sent(endpoint.id());
+            sentAtMillis = timeline.exactNowMillis();
+            request.prompt().ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.nowMillis()));
+            timeline.schedule(SimulatedRouter.NETWORK_DELAY_MILLIS, this::arriveAtEndpoint);
+            timeline.schedule(CONNECTION_CHECK_MILLIS, this::checkConnection);
             String name = requestClass().name();
-            after(router.patience().millis(name), this::slow);
-            after(
+            scheduleIfKnown(router.patience().millis(name), this::markOverdue);
+            scheduleIfKnown(
                     router.patience()
                             .secondTryMillis(name, Math.round(requestClass().latencyTargetMillis())),
-                    this::secondTry);
+                    this::trySecondEndpoint);
         }
 
-        private void reach() {
-            SimulatedEndpoint model = router.fleet().model(endpoint);
+        private void arriveAtEndpoint() {
+            SimulatedEndpoint model = router.fleet().simulatedEndpoint(endpoint);
             report.reached(startedAtMillis, model.load(), router.fleet().meanLoad(endpoint.service()));
             model.submit(run);
         }
 
-        private void after(long millis, Runnable task) {
+        private void scheduleIfKnown(long millis, Runnable task) {
             if (millis != AnswerPatience.UNKNOWN) {
-                timeline.after((double) millis, task);
+                timeline.schedule((double) millis, task);
             }
         }
 
-        private void slow() {
-            if (!began && !ended) {
+        private void markOverdue() {
+            if (!answerStarted && !ended) {
                 overdue = true;
-                if (router.does(Policy.SLOW_LEFT_OUT) && othersHaveRoom()) {
-                    router.health(endpoint).answeredSlowly(timeline.millis());
+                if (router.applies(Policy.SLOW_LEFT_OUT) && othersHaveRoom()) {
+                    router.health(endpoint).answeredSlowly(timeline.nowMillis());
                 }
             }
         }
 
-        private void secondTry() {
-            if (began
+        private void trySecondEndpoint() {
+            if (answerStarted
                     || ended
-                    || !router.does(Policy.SECOND_TRIES)
+                    || !router.applies(Policy.SECOND_TRIES)
                     || !requestClass().kind().mayRunAgain()) {
                 return;
             }
             if (!othersHaveRoom()) {
                 return;
             }
-            List<String> without = new ArrayList<>(tried);
-            without.add(endpoint.id());
-            Optional<PlacementChoice> other = place(without);
-            if (other.isPresent() && !full(other.get()) && mayRetry()) {
+            List<String> excludedIds = new ArrayList<>(triedEndpointIds);
+            excludedIds.add(endpoint.id());
+            Optional<PlacementChoice> other = choosePlacement(excludedIds);
+            if (other.isPresent() && !isFull(other.get()) && takeRetry()) {
                 report.triedAgain();
                 stopAttempt();
                 SimulatedExchange.this.attempt(other.get());
@@ -212,34 +226,37 @@
         }
 
         private boolean othersHaveRoom() {
-            long now = timeline.millis();
-            List<ServiceEndpoint> open = router.open(requestClass().service());
+            long now = timeline.nowMillis();
+            List<ServiceEndpoint> open =
+                    router.acceptingEndpoints(requestClass().service());
             List<ServiceEndpoint> others = new ArrayList<>(router.healthBook().usable(open, now));
             others.removeIf(other -> other.id().equals(endpoint.id()));
-            return !router.healthBook().doubtful(open, now) && SpareRoom.at(others, router.book());
+            return !router.healthBook().doubtful(open, now) && SpareRoom.at(others, router.workInFlight());
         }
 
-        private void lookIntoSilence() {
-            if (!began && !ended && router.fleet().model(endpoint).isSilent()) {
-                timeline.after(SimulatedRouter.CONNECT_MILLIS, this::unreachableLater);
+        private void checkConnection() {
+            if (!answerStarted
+                    && !ended
+                    && router.fleet().simulatedEndpoint(endpoint).isSilent()) {
+                timeline.schedule(SimulatedRouter.CONNECT_TIMEOUT_MILLIS, this::connectionCheckFailed);
             }
         }
 
-        private void unreachableLater() {
-            if (ended || began) {
+        private void connectionCheckFailed() {
+            if (ended || answerStarted) {
                 return;
             }
-            router.health(endpoint).unreachable(timeline.millis());
-            if (mayRetry()) {
+            router.health(endpoint).unreachable(timeline.nowMillis());
+            if (takeRetry()) {
                 report.triedAgain();
                 stopAttempt();
                 SimulatedExchange.this.attempt();
             }
         }
 
-        private void unreachable() {
-            router.health(endpoint).unreachable(timeline.millis());
-            if (!ended && !over) {
+        private void connectFailed() {
+            router.health(endpoint).unreachable(timeline.nowMillis());
+            if (!ended && !completed) {
                 stopAttempt();
                 SimulatedExchange.this.attempt();
             }
@@ -253,46 +270,46 @@
         private void finish() {
             if (!ended) {
                 ended = true;
-                accepted(false);
-                router.book().ended(endpoint.id(), run.memoryTokens());
+                reportBackoffTest(false);
+                router.workInFlight().ended(endpoint.id(), run.memoryTokens());
             }
         }
 
-        private void accepted(boolean taken) {
-            if (tests) {
-                tests = false;
-                router.backoffs().answered(endpoint.id(), taken, timeline.millis());
+        private void reportBackoffTest(boolean accepted) {
+            if (testsAfterBackoff) {
+                testsAfterBackoff = false;
+                router.backoffs().answered(endpoint.id(), accepted, timeline.nowMillis());
             }
         }
 
         @Override
-        public void begun() {
+        public void answerBegan() {
             if (ended) {
                 return;
             }
-            began = true;
-            accepted(true);
-            router.health(endpoint).heard(timeline.millis());
-            router.patience().note(requestClass().name(), timeline.exactMillis() - sentAtMillis);
+            answerStarted = true;
+            reportBackoffTest(true);
+            router.health(endpoint).heard(timeline.nowMillis());
+            router.patience().note(requestClass().name(), timeline.exactNowMillis() - sentAtMillis);
             if (!overdue) {
                 router.health(endpoint).answeredInTime();
             }
-            firstByteMillis = timeline.exactMillis() - startedAtMillis;
+            firstByteMillis = timeline.exactNowMillis() - startedAtMillis;
         }
 
         @Override
-        public void ended() {
+        public void answerEnded() {
             if (ended) {
                 return;
             }
-            router.health(endpoint).heard(timeline.millis());
+            router.health(endpoint).heard(timeline.nowMillis());
             finish();
-            over = true;
-            report.served(requestClass(), startedAtMillis, firstByteMillis);
+            completed = true;
+            report.answered(requestClass(), startedAtMillis, firstByteMillis);
         }
 
         @Override
-        public void notRun(long backoffMillis) {
+        public void rejected(long backoffMillis) {
             if (ended) {
                 return;
             }
@@ -303,11 +320,11 @@
             stopAttempt();
             rejections++;
             if (sends - rejections < requestClass().attempts()
-                    && rejections <= MOST_REJECTIONS
-                    && router.budget().trySpend(requestClass().service(), timeline.millis())) {
+                    && rejections <= MAX_REJECTIONS
+                    && router.retryBudget().trySpend(requestClass().service(), timeline.nowMillis())) {
                 SimulatedExchange.this.attempt();
             } else {
-                over = true;
+                completed = true;
                 report.refused(requestClass(), startedAtMillis);
             }
         }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/PlainService.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedPlainEndpoint.java
@@ -3,40 +3,42 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** An endpoint of a plain service: it runs some requests at once, keeps some waiting, and turns the rest away. */
-final class PlainService implements SimulatedEndpoint {
+/**
+ * A model of an endpoint of a plain service. It has a fixed number of slots and a bounded queue, and rejects the rest.
+ */
+final class SimulatedPlainEndpoint implements SimulatedEndpoint {
     private final Timeline timeline;
     private final int slots;
-    private final int queue;
+    private final int queueCapacity;
     private final Deque<Run> waiting = new ArrayDeque<>();
-    private final Deque<Run> stalled = new ArrayDeque<>();
+    private final Deque<Run> finishedWhileSilent = new ArrayDeque<>();
     private int running;
     private double slowFactor = 1;
     private boolean silent;
-    private int shedsFrom;
+    private int maxAcceptingLoad;
     private long backoffMillis;
 
     /**
      * Creates an idle endpoint.
      *
-     * @param timeline the virtual time
-     * @param slots the requests that it runs at once
-     * @param queue the requests that it keeps waiting
+     * @param timeline the virtual clock on which ends of runs are scheduled
+     * @param slots the runs that this endpoint processes at once
+     * @param queue the maximum number of waiting runs
      */
-    PlainService(Timeline timeline, int slots, int queue) {
+    SimulatedPlainEndpoint(Timeline timeline, int slots, int queue) {
         this.timeline = timeline;
         this.slots = slots;
-        this.queue = queue;
+        this.queueCapacity = queue;
     }
 
     @Override
     public void submit(Run run) {
-        if (backoffMillis > 0 && load() > shedsFrom) {
-            run.refuse(backoffMillis);
+        if (backoffMillis > 0 && load() > maxAcceptingLoad) {
+            run.reject(backoffMillis);
             return;
         }
-        if (waiting.size() >= queue) {
-            run.refuse(0);
+        if (waiting.size() >= queueCapacity) {
+            run.reject(0);
             return;
         }
         waiting.add(run);
@@ -51,15 +53,15 @@
     @Override
     public void silent(boolean isSilent) {
         silent = isSilent;
-        while (!silent && !stalled.isEmpty()) {
-            ended(stalled.remove());
+        while (!silent && !finishedWhileSilent.isEmpty()) {
+            finishRun(finishedWhileSilent.remove());
         }
         startWaiting();
     }
 
     @Override
-    public void shed(int most, long newBackoffMillis) {
-        shedsFrom = most;
+    public void shed(int maxLoad, long newBackoffMillis) {
+        maxAcceptingLoad = maxLoad;
         backoffMillis = newBackoffMillis;
     }
 
@@ -76,22 +78,22 @@
     private void startWaiting() {
         while (!silent && running < slots && !waiting.isEmpty()) {
             Run next = waiting.remove();
-            if (!next.over()) {
+            if (!next.ended()) {
                 running++;
-                timeline.after(next.workMillis() * slowFactor, () -> ended(next));
+                timeline.schedule(next.workMillis() * slowFactor, () -> finishRun(next));
             }
         }
     }
 
-    private void ended(Run run) {
+    private void finishRun(Run run) {
         if (silent) {
-            stalled.add(run);
+            finishedWhileSilent.add(run);
             return;
         }
         running--;
-        if (!run.over()) {
-            run.begin();
-            run.finish();
+        if (!run.ended()) {
+            run.beginAnswer();
+            run.endAnswer();
         }
         startWaiting();
     }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
@@ -9,18 +9,18 @@
 import org.radishpass.routing.dialect.PromptShape;
 
 /**
- * A request as its caller sends it.
+ * A request as its caller sends it, with the work that it causes.
  *
- * @param requestClass its class
- * @param number numbers all requests
- * @param subject what it is about
- * @param outputTokens the tokens that its answer has
- * @param workMillis the work that it is to a plain service, in milliseconds
+ * @param requestClass the class of the request
+ * @param number the sequence number over all requests of the simulation
+ * @param subject the number of the subject; requests of a class on the same subject share a part of the prompt
+ * @param outputTokens the number of tokens of the answer; 0 for a request to a plain service
+ * @param workMillis the processing time at a plain service, in milliseconds
  */
 record SimulatedRequest(RequestClass requestClass, long number, int subject, int outputTokens, double workMillis) {
     private static final String MODEL = "m";
 
-    /** Returns what it says of its prompt; empty for a request to a plain service. */
+    /** Returns the shape of the prompt, or empty for a request to a plain service. */
     Optional<PromptShape> prompt() {
         if (requestClass.outputTokens() == 0) {
             return Optional.empty();
@@ -33,12 +33,12 @@
         return Optional.of(new PromptShape(MODEL, promptTokens, outputTokens, parts));
     }
 
-    /** Returns a well mixed hash of it. */
+    /** Returns a hash of this request whose bits are evenly distributed. */
     long hash() {
         return Rendezvous.hash(Long.toHexString(number));
     }
 
-    /** Returns a run of it at an endpoint. */
+    /** Creates a run of this request for one endpoint. */
     Run run(@Nullable SimulatedEngine cacheHolder, Run.Listener listener) {
         List<Run.CachedPart> parts = new ArrayList<>();
         prompt().ifPresent(shape -> {
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
@@ -16,36 +16,42 @@
 import org.radishpass.routing.retry.RetryAllowance;
 import org.radishpass.routing.retry.SharedRetryBudget;
 
-/** A router's decisions, which are the product's, and its peers and background checks, which are modelled. */
+/**
+ * A router of the simulation. Decisions are made by the production classes. Messages between routers and background
+ * checks of endpoints are modelled.
+ */
 final class SimulatedRouter {
-    /** Milliseconds between messages to the peers, as the product's in fleets where everyone tells everyone. */
-    static final double TELL_MILLIS = 200;
+    /**
+     * Milliseconds between messages to the peers, as in production fleets where every router sends messages to every
+     * other router.
+     */
+    static final double PEER_MESSAGE_INTERVAL_MILLIS = 200;
 
-    /** Milliseconds that a message takes between routers. */
-    static final double NETWORK_MILLIS = 1;
+    /** Milliseconds that a message takes from one process to another. */
+    static final double NETWORK_DELAY_MILLIS = 1;
 
-    /** Milliseconds until a connection that nobody answers is given up, as the product's. */
-    static final double CONNECT_MILLIS = 350;
+    /** Milliseconds after which an unanswered connection attempt fails, as in the production router. */
+    static final double CONNECT_TIMEOUT_MILLIS = 350;
 
-    /** Milliseconds between looks at endpoints, as the product's. */
-    static final double LOOK_MILLIS = 100;
+    /** Milliseconds between checks for endpoints that are due for a probe, as in the production router. */
+    static final double PROBE_INTERVAL_MILLIS = 100;
 
-    /** The part of a backoff over which routers come back, where that is spread. */
-    private static final double SPREAD = 0.25;
+    /** The part of a backoff by which routers delay their return at most, with {@link Policy#SPREAD_RETURN}. */
+    private static final double RETURN_SPREAD = 0.25;
 
-    private static final int SHARES = 1_000;
+    private static final int HASH_BUCKETS = 1_000;
 
     private final Timeline timeline;
     private final Fleet fleet;
     private final Set<Policy> policies;
     private final String id;
-    private final int routers;
-    private final InFlightBook book = new InFlightBook();
+    private final int routerCount;
+    private final InFlightBook workInFlight = new InFlightBook();
     private final HealthBook health = new HealthBook();
     private final EndpointBackoffs backoffs = new EndpointBackoffs();
     private final AnswerPatience patience = new AnswerPatience();
     private final EndpointChooser chooser;
-    private final SharedRetryBudget budget;
+    private final SharedRetryBudget retryBudget;
     private final List<SimulatedRouter> peers = new ArrayList<>();
 
     SimulatedRouter(
@@ -54,78 +60,85 @@
         this.fleet = fleet;
         this.policies = policies;
         this.id = id;
-        this.routers = routers;
-        this.chooser = new EndpointChooser(book, new DataCentre("dc"));
-        this.budget = new SharedRetryBudget(allowance, -allowance.windowMillis());
-        budget.routers(routers);
+        this.routerCount = routers;
+        this.chooser = new EndpointChooser(workInFlight, new DataCentre("dc"));
+        this.retryBudget = new SharedRetryBudget(allowance, -allowance.windowMillis());
+        retryBudget.routers(routers);
     }
 
-    /** Starts to tell its peers and to look at endpoints that are down. */
+    /** Starts the periodic messages to the other routers and the periodic probes of endpoints that are down. */
     void start(List<SimulatedRouter> all, double offsetMillis) {
         all.stream().filter(router -> router != this).forEach(peers::add);
-        timeline.after(offsetMillis, this::tell);
-        timeline.after(offsetMillis, this::look);
+        timeline.schedule(offsetMillis, this::sendPeerMessages);
+        timeline.schedule(offsetMillis, this::probeEndpoints);
     }
 
-    private void tell() {
-        long now = timeline.millis();
-        var work = book.ownWork();
+    private void sendPeerMessages() {
+        long now = timeline.nowMillis();
+        var work = workInFlight.ownWork();
         var failing = health.failingInGroup(now);
         for (SimulatedRouter peer : peers) {
-            timeline.after(NETWORK_MILLIS, () -> {
-                peer.book.peerTold(id, WorkScope.GROUP, work, timeline.millis());
-                peer.health.saidToFail(failing, WorkScope.GROUP, timeline.millis());
+            timeline.schedule(NETWORK_DELAY_MILLIS, () -> {
+                peer.workInFlight.peerTold(id, WorkScope.GROUP, work, timeline.nowMillis());
+                peer.health.saidToFail(failing, WorkScope.GROUP, timeline.nowMillis());
             });
         }
-        timeline.after(TELL_MILLIS, this::tell);
+        timeline.schedule(PEER_MESSAGE_INTERVAL_MILLIS, this::sendPeerMessages);
     }
 
-    private void look() {
-        for (ServiceEndpoint endpoint : fleet.all()) {
+    private void probeEndpoints() {
+        for (ServiceEndpoint endpoint : fleet.endpoints()) {
             EndpointHealth seen = health(endpoint);
-            if (seen.takeProbe(timeline.millis())) {
-                connect(endpoint, () -> seen.connected(timeline.millis()), () -> seen.unreachable(timeline.millis()));
+            if (seen.takeProbe(timeline.nowMillis())) {
+                connect(
+                        endpoint,
+                        () -> seen.connected(timeline.nowMillis()),
+                        () -> seen.unreachable(timeline.nowMillis()));
             }
         }
-        timeline.after(LOOK_MILLIS, this::look);
+        timeline.schedule(PROBE_INTERVAL_MILLIS, this::probeEndpoints);
     }
 
-    /** Makes a connection, or finds out that none can be made. */
+    /** Opens a connection, and runs one of the two tasks when the connection is open or the attempt has failed. */
     void connect(ServiceEndpoint endpoint, Runnable connected, Runnable unreachable) {
-        if (fleet.model(endpoint).isSilent()) {
-            timeline.after(CONNECT_MILLIS, unreachable);
+        if (fleet.simulatedEndpoint(endpoint).isSilent()) {
+            timeline.schedule(CONNECT_TIMEOUT_MILLIS, unreachable);
         } else {
-            timeline.after(2 * NETWORK_MILLIS, connected);
+            timeline.schedule(2 * NETWORK_DELAY_MILLIS, connected);
         }
     }
 
-    boolean does(Policy policy) {
+    boolean applies(Policy policy) {
         return policies.contains(policy);
     }
 
-    /** Returns the endpoints of a service that take new work, as far as their rejections tell. */
-    List<ServiceEndpoint> open(String service) {
-        return fleet.open(service).stream().filter(this::admits).toList();
+    /** Returns the endpoints of a service that are neither leaving nor held back after a rejection. */
+    List<ServiceEndpoint> acceptingEndpoints(String service) {
+        return fleet.acceptingEndpoints(service).stream()
+                .filter(this::isAccepting)
+                .toList();
     }
 
-    private boolean admits(ServiceEndpoint endpoint) {
-        long now = timeline.millis();
-        return does(Policy.GRADUAL_RETURN)
+    private boolean isAccepting(ServiceEndpoint endpoint) {
+        long now = timeline.nowMillis();
+        return applies(Policy.GRADUAL_RETURN)
                 ? backoffs.admits(endpoint.id(), now)
                 : !backoffs.inForce(endpoint.id(), now);
     }
 
-    /** Notes that an endpoint has rejected a request with Retry-After. */
+    /** Starts a backoff for an endpoint that has rejected a request with Retry-After. */
     void rejected(ServiceEndpoint endpoint, long backoffMillis) {
-        if (does(Policy.BACKOFF)) {
-            double share = does(Policy.SPREAD_RETURN) ? share(endpoint) : 0;
-            backoffs.rejected(endpoint.id(), Math.round(backoffMillis * (1 + share)), timeline.millis());
+        if (applies(Policy.BACKOFF)) {
+            double share = applies(Policy.SPREAD_RETURN) ? returnDelayShare(endpoint) : 0;
+            backoffs.rejected(endpoint.id(), Math.round(backoffMillis * (1 + share)), timeline.nowMillis());
         }
     }
 
-    /** This router's part of the time over which routers come back to an endpoint. */
-    private double share(ServiceEndpoint endpoint) {
-        return SPREAD * Math.floorMod(Rendezvous.mix(endpoint.hash(), Rendezvous.hash(id)), SHARES) / SHARES;
+    /** Returns by what part of a backoff this router delays its return to an endpoint. */
+    private double returnDelayShare(ServiceEndpoint endpoint) {
+        return RETURN_SPREAD
+                * Math.floorMod(Rendezvous.mix(endpoint.hash(), Rendezvous.hash(id)), HASH_BUCKETS)
+                / HASH_BUCKETS;
     }
 
     EndpointBackoffs backoffs() {
@@ -133,15 +146,15 @@
     }
 
     EndpointHealth health(ServiceEndpoint endpoint) {
-        return health.of(endpoint.id(), timeline.millis());
+        return health.of(endpoint.id(), timeline.nowMillis());
     }
 
     HealthBook healthBook() {
         return health;
     }
 
-    InFlightBook book() {
-        return book;
+    InFlightBook workInFlight() {
+        return workInFlight;
     }
 
     AnswerPatience patience() {
@@ -152,8 +165,8 @@
         return chooser;
     }
 
-    SharedRetryBudget budget() {
-        return budget;
+    SharedRetryBudget retryBudget() {
+        return retryBudget;
     }
 
     Fleet fleet() {
@@ -164,7 +177,7 @@
         return timeline;
     }
 
-    int routers() {
-        return routers;
+    int routerCount() {
+        return routerCount;
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
@@ -1,9 +1,10 @@
 /**
- * A simulation of routers, engines and plain services in virtual time.
+ * Simulates routers, inference engines and plain services in virtual time.
  *
- * <p>Routers decide with the product's own classes: placement, work in flight, health, patience and retry budget. Engines,
- * services, callers and the network are models, see {@link org.radishpass.simulation.SimulatedEngine} and
- * {@link org.radishpass.simulation.PlainService}. Everything is drawn from one seed, so that a run repeats.
+ * <p>Simulated routers decide with the production classes for placement, work in flight, endpoint health, overdue
+ * answers and retry budgets. Engines, plain services, callers and the network are models, see
+ * {@link org.radishpass.simulation.SimulatedEngine} and {@link org.radishpass.simulation.SimulatedPlainEndpoint}. All random
+ * numbers come from one seed, so that a simulation can be repeated.
  *
  * @since 0.4.0
  */
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/Deployments.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/Deployments.java
@@ -4,8 +4,8 @@
 import org.radishpass.routing.retry.RetryAllowance;
 
 /**
- * The deployment of the pattern tests: 7 routers, 13 engines, 3 plain endpoints of 6 slots, 150 requests a second. Rates,
- * prompts and speeds are those that users gave for the middle size of their deployments.
+ * The medium-sized deployment of the simulation tests: 7 routers, 13 engines, 3 plain endpoints with 6 slots each, and
+ * 150 requests per second. Rates, prompts and speeds are those that users gave for their medium-sized deployments.
  */
 final class Deployments {
     static final String ENGINES = "engines";
@@ -27,16 +27,16 @@
         // static methods only
     }
 
-    static Deployment.Builder middle() {
+    static Deployment.Builder mediumSize() {
         return Deployment.builder()
                 .routers(7)
-                .allowance(new RetryAllowance(0.2, 54, 10_000))
+                .retryAllowance(new RetryAllowance(0.2, 54, 10_000))
                 .engines(ENGINES, 13, ENGINE)
                 .plain(PLAIN, 3, 6, 24)
-                .requests(DRAFT)
-                .requests(ANSWER)
-                .requests(TAG)
-                .requests(ORDER)
-                .requests(LOOKUP);
+                .requestClass(DRAFT)
+                .requestClass(ANSWER)
+                .requestClass(TAG)
+                .requestClass(ORDER)
+                .requestClass(LOOKUP);
     }
 }
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/HeavyPatternTest.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/HeavyPatternTest.java
@@ -9,8 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays heavy patterns of load with and without the routers' policies. Each bound is about half of what seeds 1 to 5 showed, so
- * that it holds for other draws too; the figures stand beside it. A pattern begins after 30 s, when caches and medians are warm.
+ * Simulates faults and surges with and without the routers' policies. Each bound is about half of the effect with seeds
+ * 1 to 5, so that the bound holds for other seeds too. The comments of the tests give the effect as the part of the
+ * requests that are answered in time. Faults begin after 30 s, when caches are filled and the medians of answer times
+ * are known.
  */
 final class HeavyPatternTest {
     private static final int SEEDS = 5;
@@ -18,115 +20,139 @@
     private static final double FROM_MILLIS = 30_000;
     private static final double UNTIL_MILLIS = 38_000;
 
-    /** In time without the policies 0.968, with them 0.991: every third engine would make its callers wait for its slow steps. */
+    /**
+     * In time: 0.968 without the policies, 0.991 with them. Without the policies, slow engines keep getting their share
+     * of requests.
+     */
     @Test
-    void thirtyInAHundredEnginesWorkEightTimesSlower() {
-        Deployment deployment = middleWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.3, 8);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(0.010);
-        assertThat(gained(deployment, Set.of(Policy.SLOW_LEFT_OUT))).isAtLeast(0.010);
+    void policiesHelpWhenThirtyPercentOfEnginesAreEightTimesSlower() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.3, 8);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(0.010);
+        assertThat(inTimeGain(deployment, Set.of(Policy.SLOW_LEFT_OUT))).isAtLeast(0.010);
     }
 
-    /** In time 0.997 and 0.998: one engine of 13 matters to few, and nothing is lost by looking for it. */
+    /**
+     * In time: 0.997 without the policies, 0.998 with them. One of 13 engines affects few requests, and detection costs
+     * none.
+     */
     @Test
-    void oneEngineWorksEightTimesSlower() {
-        Deployment deployment = middleWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.05, 8);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(-0.001);
+    void policiesDoNoHarmWhenOneEngineIsEightTimesSlower() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.05, 8);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(-0.001);
     }
 
-    /** Where all are slow nobody is left out, and requests are not sent on a tour: about 6 second tries in 1,200 requests. */
+    /**
+     * If all engines are slow, the routers leave none out and do not pass requests from engine to engine: there are
+     * about 6 second tries in 1,200 requests.
+     */
     @Test
-    void allEnginesWorkFourTimesSlower() {
-        Deployment deployment = middleWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 1, 4);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(-0.002);
+    void policiesDoNoHarmWhenAllEnginesAreFourTimesSlower() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 1, 4);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(-0.002);
         assertThat(mean(deployment, Policy.all(), Report::secondTries)).isAtMost(20);
     }
 
-    /** In time 0.979 and 0.987: what may run again need not wait until a connection has been tried, 0.8 s later. */
+    /**
+     * In time: 0.979 without the policies, 0.987 with them. Without the policies, a request that may run more than once
+     * waits for a connection test to fail, which takes 0.8 s.
+     */
     @Test
-    void thirtyInAHundredEnginesFallSilent() {
-        Deployment deployment = middleWith(Fault.Type.SILENT, Deployments.ENGINES, 4_000, 0.3, 1);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(0.003);
-        assertThat(gained(deployment, Set.of(Policy.SECOND_TRIES))).isAtLeast(0.002);
+    void policiesHelpWhenThirtyPercentOfEnginesFallSilent() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SILENT, Deployments.ENGINES, 4_000, 0.3, 1);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(0.003);
+        assertThat(inTimeGain(deployment, Set.of(Policy.SECOND_TRIES))).isAtLeast(0.002);
     }
 
-    /** In time 0.981 and 0.992: a slow endpoint of three would be given every third request until its slots are full. */
+    /**
+     * In time: 0.981 without the policies, 0.992 with them. Without the policies, the slow endpoint gets every third
+     * request until its slots are full.
+     */
     @Test
-    void oneOfThreePlainEndpointsWorksEightTimesSlower() {
-        Deployment deployment = middleWith(Fault.Type.SLOW, Deployments.PLAIN, 6_000, 0.3, 8);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(0.005);
-        assertThat(gained(deployment, Set.of(Policy.SLOW_LEFT_OUT))).isAtLeast(0.005);
+    void policiesHelpWhenOneOfThreePlainEndpointsIsEightTimesSlower() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SLOW, Deployments.PLAIN, 6_000, 0.3, 8);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(0.005);
+        assertThat(inTimeGain(deployment, Set.of(Policy.SLOW_LEFT_OUT))).isAtLeast(0.005);
     }
 
-    /** A surge makes all answers late alike: it must not be taken for a fault of endpoints. */
+    /**
+     * A surge delays the answers of all endpoints alike, so the routers must not treat the delay as a fault of an
+     * endpoint.
+     */
     @Test
-    void fourTimesAsManyDraftsCome() {
-        Deployment deployment = middleWith(Fault.Type.SURGE, "draft", 5_000, 1, 4);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(-0.001);
+    void policiesDoNoHarmInAFourfoldSurgeOfDrafts() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SURGE, "draft", 5_000, 1, 4);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(-0.001);
         assertThat(mean(deployment, Policy.all(), Report::secondTries)).isAtMost(5);
     }
 
-    /** The same at a plain service whose places run out: about 4 requests are refused either way. */
+    /** A surge that fills all slots of a plain service: about 4 requests are refused with and without the policies. */
     @Test
-    void sixTimesAsManyOrdersCome() {
-        Deployment deployment = middleWith(Fault.Type.SURGE, "order", 5_000, 1, 6);
-        assertThat(gained(deployment, Policy.all())).isAtLeast(-0.001);
+    void policiesDoNoHarmInASixfoldSurgeOfOrders() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SURGE, "order", 5_000, 1, 6);
+        assertThat(inTimeGain(deployment, Policy.all())).isAtLeast(-0.001);
         assertThat(mean(deployment, Policy.all(), Report::refused)).isAtMost(12);
     }
 
-    /** Engines that join and leave one after the other fail nobody; what they held is read again, about 140,000 tokens. */
+    /**
+     * No request fails while engines join and leave one after the other. About 140,000 tokens of their caches are read
+     * again.
+     */
     @Test
-    void halfOfTheEnginesAreReplacedOneAfterTheOther() {
-        Deployment deployment = middleWith(Fault.Type.REPLACED, Deployments.ENGINES, 1_000, 0.5, 1);
+    void noRequestFailsInARollingReplacementOfHalfTheEngines() {
+        Deployment deployment = mediumSizeWith(Fault.Type.REPLACED, Deployments.ENGINES, 1_000, 0.5, 1);
         assertThat(mean(deployment, Policy.all(), Report::inTime)).isAtLeast(0.998);
         assertThat(mean(deployment, Policy.all(), Report::failed)).isAtMost(0);
         assertThat(mean(deployment, Policy.all(), Report::readAgainTokens)).isAtMost(250_000);
     }
 
-    /** In calm the policies do nothing: under one second try in a thousand requests, no engine above the users' bound. */
+    /**
+     * Without faults the policies have no effect: there is less than one second try in 1,000 requests, and hardly any
+     * request reaches an engine above the load bound that users set.
+     */
     @Test
-    void inCalmNothingIsTriedTwice() {
-        Deployment deployment = Deployments.middle().build();
+    void almostNothingIsTriedTwiceWithoutFaults() {
+        Deployment deployment = Deployments.mediumSize().build();
         assertThat(mean(deployment, Policy.all(), Report::inTime)).isAtLeast(0.998);
         assertThat(mean(deployment, Policy.all(), Report::secondTries)).isAtMost(2);
         assertThat(mean(deployment, Policy.all(), Report::aboveBound)).isAtMost(0.01);
     }
 
     @Test
-    void aSeedRepeats() {
-        Deployment deployment = middleWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.3, 8);
+    void theSameSeedGivesTheSameReport() {
+        Deployment deployment = mediumSizeWith(Fault.Type.SLOW, Deployments.ENGINES, 6_000, 0.3, 8);
         assertThat(run(deployment, Policy.all(), 7).table())
                 .isEqualTo(run(deployment, Policy.all(), 7).table());
     }
 
     /**
-     * On deployments that nobody tuned for, calm or with a random fault: where nine in ten are served in time, none loses more
-     * than one in 200 by the policies, and the mean loses nothing to speak of. In overload beyond that single draws lose more:
-     * 0.013 of 0.27 at the seed 10, 0.030 of 0.38 at 33 and 0.034 of 0.81 at 49.
+     * On random deployments, with a random fault or none, the policies cost at most 0.005 of the requests in time where
+     * at least 0.9 are in time without them, and at most 0.002 on average. Overloaded deployments may lose more: 0.013
+     * of 0.27 with seed 10, 0.030 of 0.38 with seed 33, and 0.034 of 0.81 with seed 49.
      */
     @Test
-    void onRandomDeploymentsNothingIsLost() {
-        double gained = 0;
+    void policiesDoNoHarmOnRandomDeployments() {
+        double totalGain = 0;
         for (long seed = 1; seed <= DRAWS; seed++) {
             Deployment deployment = RandomDeployments.draw(seed);
             double without = run(deployment, Policy.none(), seed).inTime();
             double with = run(deployment, Policy.all(), seed).inTime();
-            gained += with - without;
+            totalGain += with - without;
             if (without >= 0.9) {
                 assertWithMessage("seed " + seed).that(with).isAtLeast(without - 0.005);
             }
         }
-        assertThat(gained / DRAWS).isAtLeast(-0.002);
+        assertThat(totalGain / DRAWS).isAtLeast(-0.002);
     }
 
-    private static Deployment middleWith(
+    private static Deployment mediumSizeWith(
             Fault.Type type, String target, double forMillis, double share, double factor) {
-        return Deployments.middle()
+        return Deployments.mediumSize()
                 .fault(new Fault(type, target, FROM_MILLIS, forMillis, share, factor))
                 .build();
     }
 
-    /** Returns by how much more requests are answered in time with policies than without. */
-    private static double gained(Deployment deployment, Set<Policy> policies) {
+    /** Returns the difference that the policies make to the part of the requests that are answered in time. */
+    private static double inTimeGain(Deployment deployment, Set<Policy> policies) {
         return mean(deployment, policies, Report::inTime) - mean(deployment, Policy.none(), Report::inTime);
     }
 
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/SheddingTest.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/SheddingTest.java
@@ -8,57 +8,61 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays engines that reject new requests with Retry-After for six seconds, but for one at a time. Each bound is about half of what seeds 1
- * to 5 showed.
+ * Simulates engines that for six seconds reject new requests with Retry-After while they already have more than one
+ * run. Each bound is about half of the effect with seeds 1 to 5. The comments of the tests give the effect as the part
+ * of the requests that are answered in time.
  */
 final class SheddingTest {
     private static final int SEEDS = 3;
     private static final double FROM_MILLIS = 30_000;
     private static final double UNTIL_MILLIS = 40_000;
 
-    /** In time 0.992 without the backoff, with it 1.000; it spares three rejections of four. */
+    /** In time: 0.992 without the backoff, 1.000 with it. The backoff avoids three of four rejections. */
     @Test
-    void thirtyInAHundredEnginesRejectForThreeSeconds() {
+    void backoffHelpsWhenThirtyPercentOfEnginesShedWithThreeSecondsRetryAfter() {
         Deployment deployment = shedding(0.3, 3);
-        assertThat(gained(deployment)).isAtLeast(0.003);
-        assertThat(rejections(deployment, Policy.BACKOFF)).isAtMost(0.6);
+        assertThat(inTimeGain(deployment)).isAtLeast(0.003);
+        assertThat(rejectionRatio(deployment, Policy.BACKOFF)).isAtMost(0.6);
     }
 
-    /** In time 0.846 and 0.999: engines that are left alone do not look empty to everyone. */
+    /**
+     * In time: 0.846 without the backoff, 0.999 with it. Without the backoff, engines that reject requests look idle,
+     * so all routers prefer them.
+     */
     @Test
-    void sixtyInAHundredEnginesRejectForThreeSeconds() {
+    void backoffHelpsWhenSixtyPercentOfEnginesShedWithThreeSecondsRetryAfter() {
         Deployment deployment = shedding(0.6, 3);
-        assertThat(gained(deployment)).isAtLeast(0.07);
-        assertThat(rejections(deployment, Policy.BACKOFF)).isAtMost(0.6);
+        assertThat(inTimeGain(deployment)).isAtLeast(0.07);
+        assertThat(rejectionRatio(deployment, Policy.BACKOFF)).isAtMost(0.6);
     }
 
-    /** In time 0.846 and 0.937; were all let back at once after each half second, 0.934. */
+    /** In time: 0.846 without the backoff, 0.937 with it, and 0.934 with the backoff but without the gradual return. */
     @Test
-    void sixtyInAHundredEnginesRejectForHalfASecond() {
+    void backoffHelpsWhenSixtyPercentOfEnginesShedWithHalfASecondRetryAfter() {
         Deployment deployment = shedding(0.6, 0.5);
-        assertThat(gained(deployment)).isAtLeast(0.04);
+        assertThat(inTimeGain(deployment)).isAtLeast(0.04);
         assertThat(mean(deployment, true, Report::rejections))
                 .isAtMost(1.05 * meanWithout(deployment, Policy.GRADUAL_RETURN, Report::rejections));
     }
 
-    /** One engine of 13 matters to nobody. */
+    /** If only one of 13 engines sheds load, almost all requests are still answered in time. */
     @Test
-    void oneEngineRejects() {
+    void almostAllAreInTimeWhenOneEngineSheds() {
         assertThat(mean(shedding(0.05, 3), true, Report::inTime)).isAtLeast(0.998);
     }
 
     private static Deployment shedding(double share, double backoffSeconds) {
-        return Deployments.middle()
+        return Deployments.mediumSize()
                 .fault(new Fault(Fault.Type.SHED, Deployments.ENGINES, FROM_MILLIS, 6_000, share, backoffSeconds))
                 .build();
     }
 
-    private static double gained(Deployment deployment) {
+    private static double inTimeGain(Deployment deployment) {
         return mean(deployment, true, Report::inTime) - mean(deployment, false, Report::inTime);
     }
 
-    /** Returns the rejections with all policies, as a part of those without one of them. */
-    private static double rejections(Deployment deployment, Policy without) {
+    /** Returns the number of rejections with all policies, divided by the number without one of the policies. */
+    private static double rejectionRatio(Deployment deployment, Policy without) {
         return mean(deployment, true, Report::rejections) / meanWithout(deployment, without, Report::rejections);
     }
 
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/SimulatedEngineTest.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/SimulatedEngineTest.java
@@ -9,79 +9,80 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.config.RequestKind;
 
-/** Checks the models against figures that can be worked out by hand. */
+/** Checks the models of engines and plain endpoints against times and token counts that are calculated by hand. */
 final class SimulatedEngineTest {
     private static final EngineSettings ENGINE = new EngineSettings(2, 10_000, 4, 0, 1, 100, 1_000);
     private static final RequestClass CHAT =
             new RequestClass("chat", "e", RequestKind.STREAM, 1, 1, 1, 1, 1, 500, 0, 100, 5, 0);
 
     private final Timeline timeline = new Timeline();
-    private final CacheCounts counts = new CacheCounts();
-    private final Set<Long> everRead = new HashSet<>();
-    private final List<String> heard = new ArrayList<>();
+    private final CacheCounts cacheCounts = new CacheCounts();
+    private final Set<Long> everReadParts = new HashSet<>();
+    private final List<String> events = new ArrayList<>();
 
     @Test
-    void aPromptIsReadBeforeTheFirstTokenAndEachStepBringsOne() {
+    void readsThePromptThenGeneratesOneTokenPerStep() {
         engine().submit(run("a", 5, null));
-        timeline.run(1_000);
-        // 600 tokens at 100 a millisecond and a step of 4 ms with 1 ms for the request; then steps of 5 ms
-        assertThat(heard).containsExactly("a begun 11", "a ended 31").inOrder();
+        timeline.runUntil(1_000);
+        // The first step takes 11 ms: 600 tokens at 100 per millisecond, plus 4 ms per step and 1 ms per request.
+        // Each of the other four steps takes 5 ms.
+        assertThat(events).containsExactly("a begun 11", "a ended 31").inOrder();
     }
 
     @Test
-    void aSharedPartThatIsKeptIsNotReadAgain() {
+    void doesNotReadACachedSharedPartAgain() {
         SimulatedEngine engine = engine();
         engine.submit(run("a", 1, null));
-        timeline.run(100);
+        timeline.runUntil(100);
         engine.submit(run("b", 1, null));
-        timeline.run(200);
-        assertThat(heard).contains("b begun 106");
-        assertThat(counts.readAgainTokens()).isEqualTo(0);
+        timeline.runUntil(200);
+        assertThat(events).contains("b begun 106");
+        assertThat(cacheCounts.readAgainTokens()).isEqualTo(0);
     }
 
     @Test
-    void anotherEngineReadsItAgainOrFetchesIt() {
+    void anotherEngineReadsASharedPartAgainOrFetchesIt() {
         SimulatedEngine first = engine();
         first.submit(run("a", 1, null));
-        timeline.run(100);
+        timeline.runUntil(100);
         engine().submit(run("b", 1, null));
         engine().submit(run("c", 1, first));
-        timeline.run(200);
-        assertThat(counts.readAgainTokens()).isEqualTo(500);
-        assertThat(counts.movedTokens()).isEqualTo(500);
+        timeline.runUntil(200);
+        assertThat(cacheCounts.readAgainTokens()).isEqualTo(500);
+        assertThat(cacheCounts.fetchedTokens()).isEqualTo(500);
     }
 
     @Test
-    void aSlowOneTakesLongerAndASilentOneWaits() {
+    void aSlowEngineTakesLongerAndASilentEnginePauses() {
         SimulatedEngine engine = engine();
         engine.slowBy(10);
         engine.submit(run("a", 1, null));
-        timeline.run(1_000);
-        assertThat(heard).contains("a begun 110");
+        timeline.runUntil(1_000);
+        assertThat(events).contains("a begun 110");
         engine.silent(true);
         engine.submit(run("b", 1, null));
-        timeline.run(2_000);
-        assertThat(heard).doesNotContain("b begun 1060");
+        timeline.runUntil(2_000);
+        assertThat(events).doesNotContain("b begun 1060");
         engine.silent(false);
-        timeline.run(3_000);
-        assertThat(heard).contains("b ended 2060");
+        timeline.runUntil(3_000);
+        assertThat(events).contains("b ended 2060");
     }
 
     @Test
-    void aPlainEndpointTurnsAwayWhatItCannotKeepWaiting() {
-        PlainService service = new PlainService(timeline, 1, 1);
+    void aPlainEndpointRejectsRequestsBeyondItsQueue() {
+        SimulatedPlainEndpoint service = new SimulatedPlainEndpoint(timeline, 1, 1);
         RequestClass call = new RequestClass("call", "p", RequestKind.IDEMPOTENT, 1, 1, 1, 1, 1, 0, 0, 0, 0, 10);
         for (String name : List.of("a", "b", "c")) {
             service.submit(new Run(call, List.of(), 0, 10, null, listener(name)));
         }
-        timeline.run(100);
-        assertThat(heard)
+        timeline.runUntil(100);
+        assertThat(events)
                 .containsExactly("c not run", "a begun 10", "a ended 10", "b begun 20", "b ended 20")
                 .inOrder();
     }
 
     private SimulatedEngine engine() {
-        return new SimulatedEngine(timeline, ENGINE, counts, everRead);
+        return new SimulatedEngine(timeline, ENGINE, cacheCounts, everReadParts);
     }
 
     private Run run(String name, int outputTokens, @org.jspecify.annotations.Nullable SimulatedEngine holder) {
@@ -93,18 +94,18 @@
     private Run.Listener listener(String name) {
         return new Run.Listener() {
             @Override
-            public void begun() {
-                heard.add(name + " begun " + timeline.millis());
+            public void answerBegan() {
+                events.add(name + " begun " + timeline.nowMillis());
             }
 
             @Override
-            public void ended() {
-                heard.add(name + " ended " + timeline.millis());
+            public void answerEnded() {
+                events.add(name + " ended " + timeline.nowMillis());
             }
 
             @Override
-            public void notRun(long backoffMillis) {
-                heard.add(name + " not run");
+            public void rejected(long backoffMillis) {
+                events.add(name + " not run");
             }
         };
     }
