--- a/radishpass-dist/src/test/java/org/radishpass/dist/DeploymentIT.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/DeploymentIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Runs whole deployments as real processes on loopback and reads the audit. */
+/** Runs the smoke experiments with real processes on the loopback interface and checks the counts of the audit. */
 final class DeploymentIT {
     private static final Path DISTRIBUTION = Path.of("target", "radishpass-dist", "radishpass");
 
@@ -21,7 +21,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"smoke-authority", "smoke-granite-trough"})
-    void nothingIsLostDoubledCrossedOrCut(String experiment) throws IOException, InterruptedException {
+    void theAuditFindsNoLostDoubledCrossedOrCutRequest(String experiment) throws IOException, InterruptedException {
         Path json = directory.resolve("report.json");
         Path log = directory.resolve("log");
 
--- a/radishpass-dist/src/test/java/org/radishpass/dist/FailureIT.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/FailureIT.java
@@ -22,9 +22,9 @@
 import org.radishpass.standin.platform.TableFaults;
 import reactor.core.Disposable;
 
-/** Brings failures about and checks what must always hold. */
+/** Injects failures of engines, routers, callers and the store, and checks the guarantees that callers rely on. */
 final class FailureIT {
-    private static final EngineFaults DOWN = new EngineFaults(0, 0, false, true, false);
+    private static final EngineFaults ENGINE_DOWN = new EngineFaults(0, 0, false, true, false);
 
     @TempDir
     private Path directory;
@@ -44,19 +44,19 @@
     }
 
     @Test
-    void anEngineThatDiesInTheMiddleOfAStreamIsReplacedWithoutALostOrDoubledToken() {
+    void aStreamWhoseEngineFailsResumesWithoutALostOrDoubledToken() {
         CompletableFuture<Reply> reply = caller.chat(fleet.address(0), TestCaller.chatBody("resume", 60, true))
                 .toFuture();
-        TestFleet.await(() -> running().isPresent());
-        EngineStandIn serving = running().orElseThrow();
+        TestFleet.await(() -> busyEngine().isPresent());
+        EngineStandIn serving = busyEngine().orElseThrow();
         TestFleet.await(() -> serving.running() > 0);
-        pause();
-        serving.faults(DOWN);
+        waitForTokensAndPolls();
+        serving.faults(ENGINE_DOWN);
 
         Reply received = reply.join();
 
-        assertThat(received.whole()).isTrue();
-        assertThat(TestCaller.text(received.body())).isEqualTo(TestCaller.expected("resume", 60));
+        assertThat(received.complete()).isTrue();
+        assertThat(TestCaller.streamedText(received.body())).isEqualTo(TestCaller.expectedText("resume", 60));
         assertThat(received.body()).endsWith("data: [DONE]\n\n");
     }
 
@@ -65,10 +65,10 @@
         fleet.deployment().engines().forEach(engine -> engine.faults(new EngineFaults(0, 0.4, false, false, false)));
         int whole = 0;
         for (int i = 0; i < 8; i++) {
-            Reply reply = get(caller.chat(fleet.address(i % 2), TestCaller.chatBody("cut" + i, 10, true)));
-            if (reply.whole()) {
+            Reply reply = await(caller.chat(fleet.address(i % 2), TestCaller.chatBody("cut" + i, 10, true)));
+            if (reply.complete()) {
                 whole++;
-                assertThat(TestCaller.text(reply.body())).isEqualTo(TestCaller.expected("cut" + i, 10));
+                assertThat(TestCaller.streamedText(reply.body())).isEqualTo(TestCaller.expectedText("cut" + i, 10));
             } else {
                 assertThat(reply.body()).contains("event: error");
                 assertThat(reply.body()).doesNotContain("[DONE]");
@@ -79,10 +79,10 @@
     }
 
     @Test
-    void anAnswerToAnotherRequestNeverReachesACaller() {
+    void anAnswerToAnotherRequestIsNotPassedOn() {
         fleet.deployment().engines().forEach(engine -> engine.faults(new EngineFaults(1, 0, false, false, false)));
 
-        Reply reply = get(caller.chat(fleet.address(0), TestCaller.chatBody("crossed", 5, true)));
+        Reply reply = await(caller.chat(fleet.address(0), TestCaller.chatBody("crossed", 5, true)));
 
         assertThat(reply.status()).isEqualTo(502);
         assertThat(reply.verdict()).isEqualTo("MAY_HAVE_RUN");
@@ -90,14 +90,14 @@
     }
 
     @Test
-    void aCallerThatLeavesHasItsWorkCancelled() {
+    void theEngineCancelsTheWorkOfACallerThatDisconnects() {
         Disposable stream = caller.stream(fleet.address(0), TestCaller.chatBody("gone", 2_000, true))
                 .subscribe();
-        TestFleet.await(() -> running().isPresent());
+        TestFleet.await(() -> busyEngine().isPresent());
 
         stream.dispose();
 
-        TestFleet.await(() -> running().isEmpty());
+        TestFleet.await(() -> busyEngine().isEmpty());
         long cancelled = fleet.deployment().engines().stream()
                 .mapToLong(engine -> engine.audit().counts().get("cancelled"))
                 .sum();
@@ -105,40 +105,40 @@
     }
 
     @Test
-    void aLeavingEngineGetsNothingNewAndFinishesWhatItHas() {
+    void aLeavingEngineGetsNoNewRequestsAndFinishesRunningOnes() {
         CompletableFuture<Reply> reply = caller.chat(fleet.address(0), TestCaller.chatBody("leaving", 100, true))
                 .toFuture();
-        TestFleet.await(() -> running().isPresent());
-        EngineStandIn serving = running().orElseThrow();
+        TestFleet.await(() -> busyEngine().isPresent());
+        EngineStandIn serving = busyEngine().orElseThrow();
         fleet.deployment().vms().leaving(serving.id(), true);
-        TestFleet.await(() -> state(0, serving.id()).equals("LEAVING")
-                && state(1, serving.id()).equals("LEAVING"));
+        TestFleet.await(() -> endpointState(0, serving.id()).equals("LEAVING")
+                && endpointState(1, serving.id()).equals("LEAVING"));
         long before = serving.audit().counts().get("started");
 
         for (int i = 0; i < 20; i++) {
-            get(caller.chat(fleet.address(i % 2), TestCaller.chatBody("other" + i, 1, true)));
+            await(caller.chat(fleet.address(i % 2), TestCaller.chatBody("other" + i, 1, true)));
         }
 
         assertThat(serving.audit().counts().get("started")).isEqualTo(before);
-        assertThat(TestCaller.text(reply.join().body())).isEqualTo(TestCaller.expected("leaving", 100));
+        assertThat(TestCaller.streamedText(reply.join().body())).isEqualTo(TestCaller.expectedText("leaving", 100));
     }
 
     @Test
-    void aPlannedStopOfARouterCutsNoStream() throws InterruptedException {
+    void aRouterThatStopsFinishesItsStreams() throws InterruptedException {
         CompletableFuture<Reply> reply = caller.chat(fleet.address(0), TestCaller.chatBody("stopping", 60, true))
                 .toFuture();
-        TestFleet.await(() -> running().isPresent());
+        TestFleet.await(() -> busyEngine().isPresent());
 
         fleet.router(0).stop();
 
-        assertThat(reply.join().whole()).isTrue();
-        assertThat(TestCaller.text(reply.join().body())).isEqualTo(TestCaller.expected("stopping", 60));
+        assertThat(reply.join().complete()).isTrue();
+        assertThat(TestCaller.streamedText(reply.join().body())).isEqualTo(TestCaller.expectedText("stopping", 60));
     }
 
     @Test
-    void aChangeIsInForceOnEveryRouterAndAnOutageDoesNotUndoIt() {
+    void aConfigurationChangeReachesEveryRouterAndOutlastsAStoreOutage() {
         long revision = fleet.status(0).path("revision").asLong();
-        fleet.apply(List.of(new RecordDocument(
+        fleet.applyRecords(List.of(new RecordDocument(
                 SchemaVersion.V2,
                 RecordKind.MODEL,
                 "another",
@@ -148,7 +148,7 @@
                 && fleet.status(1).path("revision").asLong() == revision + 1);
 
         fleet.deployment().table().faults(new TableFaults(true, 0, 0));
-        pause();
+        waitForTokensAndPolls();
 
         assertThat(fleet.status(0).path("revision").asLong()).isEqualTo(revision + 1);
         assertThat(fleet.status(0).path("ready").asBoolean()).isTrue();
@@ -164,7 +164,7 @@
                 "{\"model\":\"none\",\"messages\":[{}]} | 404 | NOT_FOUND",
             })
     void aMalformedRequestGetsAClearErrorAndDidNotRun(String body, int status, String code) {
-        Reply reply = get(caller.chat(fleet.address(0), body));
+        Reply reply = await(caller.chat(fleet.address(0), body));
 
         assertThat(reply.status()).isEqualTo(status);
         assertThat(reply.code()).isEqualTo(code);
@@ -173,19 +173,19 @@
 
     @Test
     void anUnknownKeyIsRefused() {
-        Reply reply = get(caller.post(
+        Reply reply = await(caller.post(
                 fleet.address(0) + "/v1/chat/completions", "unknown", TestCaller.chatBody("x", 1, true), null));
 
         assertThat(reply.code()).isEqualTo("UNAUTHORIZED");
     }
 
-    private java.util.Optional<EngineStandIn> running() {
+    private java.util.Optional<EngineStandIn> busyEngine() {
         return fleet.deployment().engines().stream()
                 .filter(engine -> engine.running() > 0)
                 .findFirst();
     }
 
-    private String state(int router, String endpoint) {
+    private String endpointState(int router, String endpoint) {
         String state = "";
         for (JsonNode candidate : fleet.status(router).path("endpoints")) {
             if (candidate.path("id").asText().equals(endpoint)) {
@@ -195,12 +195,12 @@
         return state;
     }
 
-    private static Reply get(reactor.core.publisher.Mono<Reply> reply) {
+    private static Reply await(reactor.core.publisher.Mono<Reply> reply) {
         return reply.blockOptional().orElseThrow();
     }
 
-    /** Lets a few tokens pass, or a few polls. */
-    private static void pause() {
+    /** Waits 300 ms, in which an engine generates several tokens and routers poll the store at least once. */
+    private static void waitForTokensAndPolls() {
         reactor.core.publisher.Mono.delay(java.time.Duration.ofMillis(300)).block();
     }
 }
--- a/radishpass-dist/src/test/java/org/radishpass/dist/LayerTest.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/LayerTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Holds the modules to their layers. */
+/** Checks that modules and packages depend only on the layers that the architecture permits. */
 final class LayerTest {
     private static final String[] PROGRAMS = {
         "org.radishpass.router..",
@@ -23,7 +23,7 @@
             .importPackages("org.radishpass");
 
     @Test
-    void theCoreKnowsNobodyAndDoesNoInputOrOutput() {
+    void theCoreDependsOnNoOtherModuleAndDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAPackage("org.radishpass.core..")
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theCoreHasNoClockAndNoThreadsOfItsOwn() {
+    void theCoreReadsNoClockAndUsesNoThreads() {
         noClasses()
                 .that()
                 .resideInAPackage("org.radishpass.core..")
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void programsDoNotKnowEachOther() {
+    void programsDoNotDependOnEachOther() {
         slices().matching("org.radishpass.(router|controller|cli|standin|load)..")
                 .should()
                 .notDependOnEachOther()
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void librariesDoNotKnowPrograms() {
+    void librariesDoNotDependOnPrograms() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void nobodyKnowsTheAdapterToThePlatform() {
+    void nothingDependsOnThePlatformAdapter() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("org.radishpass.platform..")
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void theAdapterKnowsRoutedRequestsAndNoOtherProgram() {
+    void thePlatformAdapterDependsOnNoProgram() {
         noClasses()
                 .that()
                 .resideInAPackage("org.radishpass.platform..")
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void routedDecisionsDoNotKnowConnections() {
+    void routingDecisionsDoNotDependOnConnections() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void routedDecisionsHaveNoClockOfTheirOwn() {
+    void routingClassesDoNotReadTheSystemClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage("org.radishpass.routing..")
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void noProcessStartsAnother() {
+    void noProgramStartsProcesses() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/radishpass-dist/src/test/java/org/radishpass/dist/Reply.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/Reply.java
@@ -5,13 +5,13 @@
 import org.radishpass.runtime.http.HttpJson;
 
 /**
- * What a caller received.
+ * The answer that a test caller received from a router.
  *
- * @param status the HTTP status; 0 without an answer
- * @param body the body, as far as it came
- * @param whole whether it ended as it should
+ * @param status the HTTP status, or 0 if no response arrived
+ * @param body the part of the body that arrived
+ * @param complete whether the response ended without an error or a timeout
  */
-record Reply(int status, String body, boolean whole) {
+record Reply(int status, String body, boolean complete) {
     String code() {
         return error().path("code").asText();
     }
--- a/radishpass-dist/src/test/java/org/radishpass/dist/TestCaller.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/TestCaller.java
@@ -11,9 +11,9 @@
 import reactor.netty.ByteBufMono;
 import reactor.netty.http.client.HttpClient;
 
-/** Sends requests as callers do. */
+/** An HTTP client that sends requests to routers as callers do. */
 final class TestCaller {
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final HttpClient client;
 
@@ -28,8 +28,8 @@
         return body.toString();
     }
 
-    /** Returns the text that a whole answer has. */
-    static String expected(String nonce, int tokens) {
+    /** Returns the text that a complete answer of the stand-in engine has. */
+    static String expectedText(String nonce, int tokens) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
             text.append(nonce).append('-').append(i).append(' ');
@@ -37,15 +37,15 @@
         return text.toString();
     }
 
-    /** Returns the text of a streamed answer. */
-    static String text(String stream) {
+    /** Returns the concatenated content of all events of a streamed answer. */
+    static String streamedText(String stream) {
         StringBuilder text = new StringBuilder();
-        String mark = "\"content\":\"";
-        int at = stream.indexOf(mark);
+        String contentKey = "\"content\":\"";
+        int at = stream.indexOf(contentKey);
         while (at >= 0) {
-            int end = stream.indexOf('"', at + mark.length());
-            text.append(stream, at + mark.length(), end);
-            at = stream.indexOf(mark, end);
+            int end = stream.indexOf('"', at + contentKey.length());
+            text.append(stream, at + contentKey.length(), end);
+            at = stream.indexOf(contentKey, end);
         }
         return text.toString();
     }
@@ -58,7 +58,7 @@
         return post(router + "/services/booking/orders", "foreign-operators", "{\"number\":\"" + number + "\"}", key);
     }
 
-    /** Returns the parts of a streamed answer as they come. */
+    /** Sends a chat request and returns the chunks of the streamed answer as they arrive. */
     Flux<String> stream(String router, String body) {
         return request("desk-liguanea", null)
                 .post()
@@ -80,7 +80,7 @@
                     return content.asString(StandardCharsets.UTF_8).doOnNext(text::append);
                 })
                 .then(Mono.fromCallable(() -> new Reply(status.get(), text.toString(), true)))
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .onErrorResume(error -> Mono.just(new Reply(status.get(), text.toString(), false)));
     }
 
--- a/radishpass-dist/src/test/java/org/radishpass/dist/TestFleet.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/TestFleet.java
@@ -30,24 +30,24 @@
 import org.radishpass.tables.table.HttpTableService;
 import reactor.core.publisher.Mono;
 
-/** A deployment of stand-ins with routers in this process, for tests of failures. */
+/** A deployment with stand-in engines, services and platform, and with routers that run in the test's own process. */
 final class TestFleet implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final EngineSettings ENGINES = new EngineSettings(32, 20, 20_000, 4_000, 200, true);
-    private static final long POLL_MILLIS = 20;
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
+    private static final EngineSettings ENGINE_SETTINGS = new EngineSettings(32, 20, 20_000, 4_000, 200, true);
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final List<Router> routers = new ArrayList<>();
     private final HttpRuntime runtime = new HttpRuntime("test", 2);
     private final StandInDeployment deployment;
 
     TestFleet(Path directory, int routerCount) throws IOException {
-        this.deployment = new StandInDeployment(DeploymentKind.AUTHORITY, directory, ENGINES, 5);
+        this.deployment = new StandInDeployment(DeploymentKind.AUTHORITY, directory, ENGINE_SETTINGS, 5);
         for (int i = 0; i < routerCount; i++) {
             routers.add(new Router(settings(directory, i), Clock.systemUTC()));
         }
-        deployment.engines().forEach(this::load);
-        apply(records());
-        await(() -> routers.stream().allMatch(this::ready));
+        deployment.engines().forEach(this::loadPools);
+        applyRecords(exampleRecords());
+        await(() -> routers.stream().allMatch(this::isReady));
     }
 
     StandInDeployment deployment() {
@@ -66,28 +66,31 @@
         return runtime;
     }
 
-    WriteResult apply(List<RecordDocument> documents) {
+    WriteResult applyRecords(List<RecordDocument> documents) {
         HttpTableService tables =
                 new HttpTableService(runtime.client(), deployment.platformAddress(), Duration.ofSeconds(5));
         return new ConfigurationWriter(
                         tables, Clock.systemUTC(), () -> UUID.randomUUID().toString())
                 .apply(documents, "test", OptionalLong.empty())
-                .blockOptional(PATIENCE)
+                .blockOptional(TIMEOUT)
                 .orElseThrow();
     }
 
     JsonNode status(int index) {
-        return get(address(index) + "/v1/status");
+        return getJson(address(index) + "/v1/status");
     }
 
-    /** Waits for a state of the fleet; the wait's length is no part of any verdict. */
-    static void await(BooleanSupplier state) {
-        long deadline = System.nanoTime() + PATIENCE.toNanos();
-        while (!state.getAsBoolean()) {
+    /**
+     * Waits until a condition holds. The long timeout only ends a test that hangs; tests must not depend on how long
+     * the wait takes.
+     */
+    static void await(BooleanSupplier condition) {
+        long deadline = System.nanoTime() + TIMEOUT.toNanos();
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadline > 0) {
-                throw new AssertionError("the fleet did not come to the state that was waited for");
+                throw new AssertionError("the fleet did not reach the expected state before the timeout");
             }
-            Mono.delay(Duration.ofMillis(POLL_MILLIS)).block();
+            Mono.delay(Duration.ofMillis(POLL_INTERVAL_MILLIS)).block();
         }
     }
 
@@ -98,17 +101,17 @@
         runtime.close();
     }
 
-    private JsonNode get(String address) {
+    private JsonNode getJson(String address) {
         return runtime.client()
                 .get()
                 .uri(address)
                 .responseSingle((response, content) -> content.asByteArray())
                 .map(HttpJson::parse)
-                .blockOptional(PATIENCE)
+                .blockOptional(TIMEOUT)
                 .orElseThrow();
     }
 
-    private void load(EngineStandIn engine) {
+    private void loadPools(EngineStandIn engine) {
         for (String pool : List.of("atlas@1", "atlas:passbook@1")) {
             byte[] order = HttpJson.bytes(Map.of("type", "load", "pool", pool, "epoch", 1, "revision", 0));
             runtime.client()
@@ -116,12 +119,12 @@
                     .uri("http://127.0.0.1:" + engine.port() + "/v1/orders")
                     .send((request, outbound) -> outbound.sendByteArray(Mono.just(order)))
                     .responseSingle((response, content) -> content.asByteArray())
-                    .block(PATIENCE);
+                    .block(TIMEOUT);
         }
     }
 
-    private boolean ready(Router router) {
-        JsonNode status = get("http://127.0.0.1:" + router.port() + "/v1/status");
+    private boolean isReady(Router router) {
+        JsonNode status = getJson("http://127.0.0.1:" + router.port() + "/v1/status");
         boolean all = status.path("ready").asBoolean()
                 && status.path("revision").asLong() > 0
                 && status.path("routers").size() == routers.size();
@@ -163,7 +166,7 @@
         return settings;
     }
 
-    private static List<RecordDocument> records() throws IOException {
+    private static List<RecordDocument> exampleRecords() throws IOException {
         List<RecordDocument> documents = new ArrayList<>();
         try (Stream<Path> files = Files.list(Path.of("..", "examples", "authority"))) {
             files.sorted().forEach(file -> documents.addAll(read(file)));
--- a/radishpass-model/src/main/alloy/at-most-once.als
+++ b/radishpass-model/src/main/alloy/at-most-once.als
@@ -1,15 +1,16 @@
 /*
- * At most once by claim: all attempts at one non-idempotent request with one key, through any routers.
+ * Claims make a non-idempotent request run at most once. The model has all attempts at one request with one idempotency key,
+ * through any routers.
  *
  * Step          carried out by
  * ask           ClaimStore.claim, the conditional insert
- * arrive, lose  the table service; an insert may arrive late or never
- * learn         ClaimStore.claim and readBack: the row holds the attempt's own token
+ * arrive, lose  the table service; an insert may be applied late or never
+ * learn         ClaimStore.claim and readBack: the attempt finds its own token in the row
  * refuse        OnceGuard.refusal with NOT_RUN
- * withdraw      ClaimStore.withdraw after an attempt that provably did not run
- * send          EndpointClient.write, after the last check of the deadline
+ * withdraw      ClaimStore.withdraw, after an attempt that certainly did not run
+ * send          EndpointClient.write, after the final check of the deadline
  * run           the endpoint, at any later time
- * crash         the router, at any time; a pause is any number of other steps in between
+ * crash         the router, at any time; a paused router is modelled by steps of other attempts in between
  */
 module atMostOnce
 
--- a/radishpass-model/src/main/alloy/configuration.als
+++ b/radishpass-model/src/main/alloy/configuration.als
@@ -1,11 +1,11 @@
 /*
- * Configuration: what was accepted is never reverted at a router.
+ * A router never returns from an accepted configuration revision to an older revision, except by a restart.
  *
  * Step       carried out by
- * accept     ConfigurationWriter: one more revision, in the store
+ * accept     ConfigurationWriter: writes the next revision to the store
  * poll       ConfigurationTracker.heardFromStore; a read may be stale, and a restored store may be older
  * hear       ConfigurationTracker.takeFromPeer
- * restart    a VM without a disk: it knows nothing and is not ready
+ * restart    a router on a VM without a disk: it has no revision and is not ready
  */
 module configuration
 
@@ -28,7 +28,7 @@
   inForce' = inForce and Ready' = Ready and no Restarted'
 }
 
-/* The store comes back from an older copy. Operators bring its head forward again before they write; see ADR 2. */
+/* The store is restored from an older copy. Operators advance its head again before they write; see ADR 2. */
 pred restore[older: Revision] {
   lt[older, Store.head]
   head' = Store -> older
@@ -60,7 +60,10 @@
   always (stutter or accept or (some older: Revision | restore[older]) or (some r: Router | poll[r] or hear[r] or restart[r]))
 }
 
-/* Between restarts a router never goes back; nothing is in force that was not accepted; whoever is ready has a revision. */
+/*
+ * Between restarts, the revision of a router never decreases. Only accepted revisions are in force. A router that is ready
+ * has a revision.
+ */
 assert safe {
   always all r: Router | {
     (some r.inForce and r not in Restarted') implies (some r.inForce' and gte[r.inForce', r.inForce])
--- a/radishpass-model/src/main/alloy/lease-orders.als
+++ b/radishpass-model/src/main/alloy/lease-orders.als
@@ -1,15 +1,16 @@
 /*
- * Leases and orders to an endpoint that checks no fencing number. Time passes in ticks.
+ * Leases make sure that only the present lease holder's orders reach an endpoint, which checks no fencing token itself. Time
+ * passes in discrete ticks.
  *
  * Step       carried out by
- * ask        ShareLeases.write: the time is taken before the request is sent
+ * ask        ShareLeases.write: reads the clock before it sends the request
  * commit     the table service: the conditional write, at any later time
- * learn      ShareLeases.settle: the answer came
- * order      EngineClient.order: LeaseRules.mayOrder is asked at the moment of the write
- * deliver    the network, within the order's life
+ * learn      ShareLeases.settle: the answer has arrived
+ * order      EngineClient.order: checks LeaseRules.mayOrder when it writes the order to the connection
+ * deliver    the network, before the order expires
  *
- * A pause of a holder is any time between its steps. The taker's clock is ahead by as much as clocks may differ;
- * it waits out just that, so the two cancel out here.
+ * A paused holder is modelled by time that passes between its steps. Clocks are equal in this model: the next holder's clock
+ * may be ahead by the permitted difference between clocks, but the next holder also waits that much longer.
  */
 module leaseOrders
 
@@ -102,7 +103,7 @@
     or (some o: Order | deliver[o]))
 }
 
-/* An order only ever reaches the endpoint while its sender is the one that the store names. */
+/* An order reaches the endpoint only while the store names the order's sender as the lease holder. */
 assert safe {
   always all o: Order | (o not in Delivered and o in Delivered') implies World.owner = Times.sentBy[o]
 }
--- a/radishpass-model/src/test/java/org/radishpass/model/SpecificationTest.java
+++ b/radishpass-model/src/test/java/org/radishpass/model/SpecificationTest.java
@@ -16,9 +16,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Checks each specification: the rule holds, the model is not empty, and without the rule it does not hold. */
+/**
+ * Checks each Alloy specification. The invariant must hold, the model must have at least one behaviour, and a mutant in
+ * which the rule is weakened must violate the invariant.
+ */
 final class SpecificationTest {
-    private static final Path DIRECTORY = Path.of("src", "main", "alloy");
+    private static final Path SPECIFICATIONS = Path.of("src", "main", "alloy");
 
     @ParameterizedTest
     @CsvSource(
@@ -28,17 +31,17 @@
                 "lease-orders | plus[Times.heldFrom[h], minus[term, orderLife]] | plus[Times.heldFrom[h], term]",
                 "configuration | { no r.inForce or gt[offered, r.inForce] } | { some offered }",
             })
-    void theRuleHoldsAndIsNeeded(String name, String rule, String mutant) throws IOException {
-        String specification = Files.readString(DIRECTORY.resolve(name + ".als"));
+    void theInvariantHoldsOnlyWithTheRule(String name, String rule, String mutant) throws IOException {
+        String specification = Files.readString(SPECIFICATIONS.resolve(name + ".als"));
         assertThat(specification).contains(rule);
 
-        assertWithMessage("a counterexample to the rule")
+        assertWithMessage("a counterexample to the invariant")
                 .that(satisfiable(specification, true))
                 .isFalse();
-        assertWithMessage("a behaviour of the model")
+        assertWithMessage("an example of a behaviour of the model")
                 .that(satisfiable(specification, false))
                 .isTrue();
-        assertWithMessage("a counterexample once the rule is removed")
+        assertWithMessage("a counterexample to the invariant once the rule is weakened")
                 .that(satisfiable(specification.replace(rule, mutant), true))
                 .isTrue();
     }
--- a/radishpass-model/src/test/java/org/radishpass/model/package-info.java
+++ b/radishpass-model/src/test/java/org/radishpass/model/package-info.java
@@ -1,3 +1,3 @@
-/** Model checks of the core protocols. */
+/** Checks the Alloy models of the claim, lease and configuration protocols. */
 @org.jspecify.annotations.NullMarked
 package org.radishpass.model;
