--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Fleet.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Fleet.java
@@ -25,11 +25,11 @@
      *
      * @param service the service that the endpoint belongs to
      * @param slots the requests that the endpoint runs at once
-     * @param model the simulated endpoint that processes the requests
+     * @param simulated the simulated endpoint that processes the requests
      */
-    void join(String service, int slots, SimulatedEndpoint model) {
+    void add(String service, int slots, SimulatedEndpoint simulated) {
         String id = service + "-" + addedEndpoints++;
-        simulatedEndpoints.put(id, model);
+        simulatedEndpoints.put(id, simulated);
         listed.add(new ServiceEndpoint(
                 id, service, new Address("10.0.0." + addedEndpoints, PORT), new DataCentre("dc"), slots, false));
     }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Report.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Report.java
@@ -45,8 +45,11 @@
     }
 
     /**
-     * Counts a request whose complete answer has arrived. The first byte came after the given time since the request's
-     * arrival.
+     * Counts a request whose complete answer has arrived.
+     *
+     * @param requestClass the class of the request
+     * @param startedAtMillis the virtual time at which the request arrived at the router, in milliseconds
+     * @param firstByteMillis the time from then to the first byte of the answer, in milliseconds
      */
     void answered(RequestClass requestClass, double startedAtMillis, double firstByteMillis) {
         if (isCounted(startedAtMillis)) {
@@ -92,7 +95,7 @@
     }
 
     /** Counts a request that was sent to another endpoint because the first was silent or slow. */
-    void triedAgain() {
+    void secondTry() {
         secondTries++;
     }
 
@@ -157,7 +160,7 @@
         return cacheCounts.fetchedTokens();
     }
 
-    /** Returns a table for display, with one line per request class and a line of totals. */
+    /** Returns a table that people can read, with one line per request class and a line of totals. */
     String table() {
         StringBuilder text = new StringBuilder();
         byClass.forEach((name, counts) -> text.append(String.format(
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEngine.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedEngine.java
@@ -38,14 +38,14 @@
      *
      * @param timeline the virtual clock on which steps are scheduled
      * @param settings the capacity and speed of the engine
-     * @param counts counts the prompt tokens that are read again or fetched, over all engines
-     * @param everRead the keys of the shared prompt parts that any engine has read
+     * @param cacheCounts counts the prompt tokens that are read again or fetched, over all engines
+     * @param everReadParts the keys of the shared prompt parts that any engine has read
      */
-    SimulatedEngine(Timeline timeline, EngineSettings settings, CacheCounts counts, Set<Long> everRead) {
+    SimulatedEngine(Timeline timeline, EngineSettings settings, CacheCounts cacheCounts, Set<Long> everReadParts) {
         this.timeline = timeline;
         this.settings = settings;
-        this.cacheCounts = counts;
-        this.everReadParts = everRead;
+        this.cacheCounts = cacheCounts;
+        this.everReadParts = everReadParts;
     }
 
     @Override
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
@@ -36,7 +36,7 @@
      */
     private static final long REUSE_HEARD_WITHIN_MILLIS = 1_000;
 
-    /** Rejections after which a request may still be sent to another endpoint, as in the production router. */
+    /** The number of rejections up to which a request is sent to another endpoint, as in the production router. */
     private static final int MAX_REJECTIONS = 3;
 
     private final SimulatedRouter router;
@@ -93,7 +93,7 @@
         if (sends > 0) {
             candidates = router.healthBook().heardLately(candidates, RETRY_HEARD_WITHIN_MILLIS, now);
         }
-        Optional<PromptShape> prompt = request.prompt();
+        Optional<PromptShape> prompt = request.promptShape();
         return router.chooser()
                 .choose(new PlacementQuery(
                         candidates,
@@ -106,7 +106,7 @@
     }
 
     private boolean isFull(PlacementChoice choice) {
-        QueueLimit limit = request.prompt().isPresent() ? QueueLimit.ENGINE : QueueLimit.PLAIN;
+        QueueLimit limit = request.promptShape().isPresent() ? QueueLimit.ENGINE : QueueLimit.PLAIN;
         return choice.load() >= limit.requests(choice.endpoint().slots());
     }
 
@@ -140,7 +140,7 @@
         private double sentAtMillis;
         private boolean answerStarted;
         private boolean overdue;
-        private boolean testsAfterBackoff;
+        private boolean isBackoffTest;
         private boolean ended;
 
         private Attempt(PlacementChoice choice) {
@@ -171,9 +171,9 @@
                 return;
             }
             sends++;
-            testsAfterBackoff = router.backoffs().sent(endpoint.id());
+            isBackoffTest = router.backoffs().sent(endpoint.id());
             sentAtMillis = timeline.exactNowMillis();
-            request.prompt().ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.nowMillis()));
+            request.promptShape().ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.nowMillis()));
             timeline.schedule(SimulatedRouter.NETWORK_DELAY_MILLIS, this::arriveAtEndpoint);
             timeline.schedule(CONNECTION_CHECK_MILLIS, this::checkConnection);
             String name = requestClass().name();
@@ -185,9 +185,9 @@
         }
 
         private void arriveAtEndpoint() {
-            SimulatedEndpoint model = router.fleet().simulatedEndpoint(endpoint);
-            report.reached(startedAtMillis, model.load(), router.fleet().meanLoad(endpoint.service()));
-            model.submit(run);
+            SimulatedEndpoint simulated = router.fleet().simulatedEndpoint(endpoint);
+            report.reached(startedAtMillis, simulated.load(), router.fleet().meanLoad(endpoint.service()));
+            simulated.submit(run);
         }
 
         private void scheduleIfKnown(long millis, Runnable task) {
@@ -219,7 +219,7 @@
             excludedIds.add(endpoint.id());
             Optional<PlacementChoice> other = choosePlacement(excludedIds);
             if (other.isPresent() && !isFull(other.get()) && takeRetry()) {
-                report.triedAgain();
+                report.secondTry();
                 stopAttempt();
                 SimulatedExchange.this.attempt(other.get());
             }
@@ -227,11 +227,11 @@
 
         private boolean othersHaveRoom() {
             long now = timeline.nowMillis();
-            List<ServiceEndpoint> open =
+            List<ServiceEndpoint> accepting =
                     router.acceptingEndpoints(requestClass().service());
-            List<ServiceEndpoint> others = new ArrayList<>(router.healthBook().usable(open, now));
+            List<ServiceEndpoint> others = new ArrayList<>(router.healthBook().usable(accepting, now));
             others.removeIf(other -> other.id().equals(endpoint.id()));
-            return !router.healthBook().doubtful(open, now) && SpareRoom.at(others, router.workInFlight());
+            return !router.healthBook().doubtful(accepting, now) && SpareRoom.at(others, router.workInFlight());
         }
 
         private void checkConnection() {
@@ -248,7 +248,7 @@
             }
             router.health(endpoint).unreachable(timeline.nowMillis());
             if (takeRetry()) {
-                report.triedAgain();
+                report.secondTry();
                 stopAttempt();
                 SimulatedExchange.this.attempt();
             }
@@ -276,8 +276,8 @@
         }
 
         private void reportBackoffTest(boolean accepted) {
-            if (testsAfterBackoff) {
-                testsAfterBackoff = false;
+            if (isBackoffTest) {
+                isBackoffTest = false;
                 router.backoffs().answered(endpoint.id(), accepted, timeline.nowMillis());
             }
         }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedPlainEndpoint.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedPlainEndpoint.java
@@ -4,7 +4,8 @@
 import java.util.Deque;
 
 /**
- * A model of an endpoint of a plain service. It has a fixed number of slots and a bounded queue, and rejects the rest.
+ * A model of an endpoint of a plain service. The endpoint runs requests in a fixed number of slots, queues a limited
+ * number of others, and rejects the rest.
  */
 final class SimulatedPlainEndpoint implements SimulatedEndpoint {
     private final Timeline timeline;
@@ -23,12 +24,12 @@
      *
      * @param timeline the virtual clock on which ends of runs are scheduled
      * @param slots the runs that this endpoint processes at once
-     * @param queue the maximum number of waiting runs
+     * @param queueCapacity the maximum number of waiting runs
      */
-    SimulatedPlainEndpoint(Timeline timeline, int slots, int queue) {
+    SimulatedPlainEndpoint(Timeline timeline, int slots, int queueCapacity) {
         this.timeline = timeline;
         this.slots = slots;
-        this.queueCapacity = queue;
+        this.queueCapacity = queueCapacity;
     }
 
     @Override
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
@@ -21,7 +21,7 @@
     private static final String MODEL = "m";
 
     /** Returns the shape of the prompt, or empty for a request to a plain service. */
-    Optional<PromptShape> prompt() {
+    Optional<PromptShape> promptShape() {
         if (requestClass.outputTokens() == 0) {
             return Optional.empty();
         }
@@ -41,7 +41,7 @@
     /** Creates a run of this request for one endpoint. */
     Run run(@Nullable SimulatedEngine cacheHolder, Run.Listener listener) {
         List<Run.CachedPart> parts = new ArrayList<>();
-        prompt().ifPresent(shape -> {
+        promptShape().ifPresent(shape -> {
             for (int index = 0; index < shape.parts().size(); index++) {
                 boolean shared = index < shape.sharedParts();
                 parts.add(new Run.CachedPart(
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
@@ -36,7 +36,7 @@
     /** Milliseconds between checks for endpoints that are due for a probe, as in the production router. */
     static final double PROBE_INTERVAL_MILLIS = 100;
 
-    /** The part of a backoff by which routers delay their return at most, with {@link Policy#SPREAD_RETURN}. */
+    /** The maximum delay of a return after a backoff with {@link Policy#SPREAD_RETURN}, as a part of the backoff. */
     private static final double RETURN_SPREAD = 0.25;
 
     private static final int HASH_BUCKETS = 1_000;
@@ -55,15 +55,20 @@
     private final List<SimulatedRouter> peers = new ArrayList<>();
 
     SimulatedRouter(
-            Timeline timeline, Fleet fleet, Set<Policy> policies, String id, int routers, RetryAllowance allowance) {
+            Timeline timeline,
+            Fleet fleet,
+            Set<Policy> policies,
+            String id,
+            int routerCount,
+            RetryAllowance allowance) {
         this.timeline = timeline;
         this.fleet = fleet;
         this.policies = policies;
         this.id = id;
-        this.routerCount = routers;
+        this.routerCount = routerCount;
         this.chooser = new EndpointChooser(workInFlight, new DataCentre("dc"));
         this.retryBudget = new SharedRetryBudget(allowance, -allowance.windowMillis());
-        retryBudget.routers(routers);
+        retryBudget.routers(routerCount);
     }
 
     /** Starts the periodic messages to the other routers and the periodic probes of endpoints that are down. */
@@ -75,11 +80,11 @@
 
     private void sendPeerMessages() {
         long now = timeline.nowMillis();
-        var work = workInFlight.ownWork();
+        var ownWork = workInFlight.ownWork();
         var failing = health.failingInGroup(now);
         for (SimulatedRouter peer : peers) {
             timeline.schedule(NETWORK_DELAY_MILLIS, () -> {
-                peer.workInFlight.peerTold(id, WorkScope.GROUP, work, timeline.nowMillis());
+                peer.workInFlight.peerTold(id, WorkScope.GROUP, ownWork, timeline.nowMillis());
                 peer.health.saidToFail(failing, WorkScope.GROUP, timeline.nowMillis());
             });
         }
@@ -88,12 +93,12 @@
 
     private void probeEndpoints() {
         for (ServiceEndpoint endpoint : fleet.endpoints()) {
-            EndpointHealth seen = health(endpoint);
-            if (seen.takeProbe(timeline.nowMillis())) {
+            EndpointHealth endpointHealth = health(endpoint);
+            if (endpointHealth.takeProbe(timeline.nowMillis())) {
                 connect(
                         endpoint,
-                        () -> seen.connected(timeline.nowMillis()),
-                        () -> seen.unreachable(timeline.nowMillis()));
+                        () -> endpointHealth.connected(timeline.nowMillis()),
+                        () -> endpointHealth.unreachable(timeline.nowMillis()));
             }
         }
         timeline.schedule(PROBE_INTERVAL_MILLIS, this::probeEndpoints);
@@ -134,7 +139,7 @@
         }
     }
 
-    /** Returns by what part of a backoff this router delays its return to an endpoint. */
+    /** Returns the delay of this router's return to an endpoint after a backoff, as a part of the backoff. */
     private double returnDelayShare(ServiceEndpoint endpoint) {
         return RETURN_SPREAD
                 * Math.floorMod(Rendezvous.mix(endpoint.hash(), Rendezvous.hash(id)), HASH_BUCKETS)
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/Simulation.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/Simulation.java
@@ -92,7 +92,7 @@
 
     private void addEngines(Deployment.EnginePool pool) {
         for (int index = 0; index < pool.count(); index++) {
-            fleet.join(
+            fleet.add(
                     pool.service(),
                     pool.settings().slots(),
                     new SimulatedEngine(timeline, pool.settings(), cacheCounts, everReadParts));
@@ -101,7 +101,7 @@
 
     private void addPlainEndpoints(Deployment.PlainPool pool) {
         for (int index = 0; index < pool.count(); index++) {
-            fleet.join(pool.service(), pool.slots(), new SimulatedPlainEndpoint(timeline, pool.slots(), pool.queue()));
+            fleet.add(pool.service(), pool.slots(), new SimulatedPlainEndpoint(timeline, pool.slots(), pool.queue()));
         }
     }
 
@@ -137,7 +137,7 @@
         timeline.schedule(fault.forMillis(), () -> affected.forEach(revert));
     }
 
-    /** Multiplies the arrival rate of a request class for some milliseconds of virtual time. */
+    /** Multiplies the arrival rate of a request class for a number of milliseconds of virtual time. */
     void multiplyRate(String requestClass, double factor, double forMillis) {
         rateFactors.put(requestClass, factor);
         timeline.schedule(forMillis, () -> rateFactors.remove(requestClass));
@@ -155,7 +155,7 @@
     private void replace(ServiceEndpoint old) {
         deployment.enginePools().stream()
                 .filter(pool -> pool.service().equals(old.service()))
-                .forEach(pool -> fleet.join(
+                .forEach(pool -> fleet.add(
                         pool.service(),
                         pool.settings().slots(),
                         new SimulatedEngine(timeline, pool.settings(), cacheCounts, everReadParts)));
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
@@ -3,8 +3,8 @@
  *
  * <p>Simulated routers decide with the production classes for placement, work in flight, endpoint health, overdue
  * answers and retry budgets. Engines, plain services, callers and the network are models, see
- * {@link org.radishpass.simulation.SimulatedEngine} and {@link org.radishpass.simulation.SimulatedPlainEndpoint}. All random
- * numbers come from one seed, so that a simulation can be repeated.
+ * {@link org.radishpass.simulation.SimulatedEngine} and {@link org.radishpass.simulation.SimulatedPlainEndpoint}. All
+ * random numbers come from one seed, so that a simulation can be repeated.
  *
  * @since 0.4.0
  */
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/HeavyPatternTest.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/HeavyPatternTest.java
@@ -16,7 +16,7 @@
  */
 final class HeavyPatternTest {
     private static final int SEEDS = 5;
-    private static final int DRAWS = 40;
+    private static final int RANDOM_DEPLOYMENTS = 40;
     private static final double FROM_MILLIS = 30_000;
     private static final double UNTIL_MILLIS = 38_000;
 
@@ -32,8 +32,8 @@
     }
 
     /**
-     * In time: 0.997 without the policies, 0.998 with them. One of 13 engines affects few requests, and detection costs
-     * none.
+     * In time: 0.997 without the policies, 0.998 with them. One slow engine of 13 affects few requests, and the
+     * policies must not make the others slower.
      */
     @Test
     void policiesDoNoHarmWhenOneEngineIsEightTimesSlower() {
@@ -132,7 +132,7 @@
     @Test
     void policiesDoNoHarmOnRandomDeployments() {
         double totalGain = 0;
-        for (long seed = 1; seed <= DRAWS; seed++) {
+        for (long seed = 1; seed <= RANDOM_DEPLOYMENTS; seed++) {
             Deployment deployment = RandomDeployments.draw(seed);
             double without = run(deployment, Policy.none(), seed).inTime();
             double with = run(deployment, Policy.all(), seed).inTime();
@@ -141,7 +141,7 @@
                 assertWithMessage("seed " + seed).that(with).isAtLeast(without - 0.005);
             }
         }
-        assertThat(totalGain / DRAWS).isAtLeast(-0.002);
+        assertThat(totalGain / RANDOM_DEPLOYMENTS).isAtLeast(-0.002);
     }
 
     private static Deployment mediumSizeWith(
--- a/radishpass-simulation/src/test/java/org/radishpass/simulation/SheddingTest.java
+++ b/radishpass-simulation/src/test/java/org/radishpass/simulation/SheddingTest.java
@@ -20,7 +20,7 @@
     /** In time: 0.992 without the backoff, 1.000 with it. The backoff avoids three of four rejections. */
     @Test
     void backoffHelpsWhenThirtyPercentOfEnginesShedWithThreeSecondsRetryAfter() {
-        Deployment deployment = shedding(0.3, 3);
+        Deployment deployment = deploymentWithShedding(0.3, 3);
         assertThat(inTimeGain(deployment)).isAtLeast(0.003);
         assertThat(rejectionRatio(deployment, Policy.BACKOFF)).isAtMost(0.6);
     }
@@ -31,7 +31,7 @@
      */
     @Test
     void backoffHelpsWhenSixtyPercentOfEnginesShedWithThreeSecondsRetryAfter() {
-        Deployment deployment = shedding(0.6, 3);
+        Deployment deployment = deploymentWithShedding(0.6, 3);
         assertThat(inTimeGain(deployment)).isAtLeast(0.07);
         assertThat(rejectionRatio(deployment, Policy.BACKOFF)).isAtMost(0.6);
     }
@@ -39,7 +39,7 @@
     /** In time: 0.846 without the backoff, 0.937 with it, and 0.934 with the backoff but without the gradual return. */
     @Test
     void backoffHelpsWhenSixtyPercentOfEnginesShedWithHalfASecondRetryAfter() {
-        Deployment deployment = shedding(0.6, 0.5);
+        Deployment deployment = deploymentWithShedding(0.6, 0.5);
         assertThat(inTimeGain(deployment)).isAtLeast(0.04);
         assertThat(mean(deployment, true, Report::rejections))
                 .isAtMost(1.05 * meanWithout(deployment, Policy.GRADUAL_RETURN, Report::rejections));
@@ -48,10 +48,10 @@
     /** If only one of 13 engines sheds load, almost all requests are still answered in time. */
     @Test
     void almostAllAreInTimeWhenOneEngineSheds() {
-        assertThat(mean(shedding(0.05, 3), true, Report::inTime)).isAtLeast(0.998);
+        assertThat(mean(deploymentWithShedding(0.05, 3), true, Report::inTime)).isAtLeast(0.998);
     }
 
-    private static Deployment shedding(double share, double backoffSeconds) {
+    private static Deployment deploymentWithShedding(double share, double backoffSeconds) {
         return Deployments.mediumSize()
                 .fault(new Fault(Fault.Type.SHED, Deployments.ENGINES, FROM_MILLIS, 6_000, share, backoffSeconds))
                 .build();
