--- a/radishpass-standin/src/main/java/org/radishpass/standin/StandInMain.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/StandInMain.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stand-ins' program.
+ * Command-line program that runs the stand-ins of one deployment.
  *
  * @since 0.1.0
  */
@@ -16,11 +16,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(StandInMain.class);
 
     private StandInMain() {
-        // main only
+        // holds only main
     }
 
     /**
-     * Runs a deployment of stand-ins until it is told to stop.
+     * Runs the stand-ins of a deployment until the process receives a stop signal.
      *
      * @param arguments the command line
      */
@@ -37,7 +37,7 @@
         try (StopSignal signal = new StopSignal();
                 StandInDeployment deployment = new StandInDeployment(
                         settings.deployment(), settings.runDirectory(), settings.engine(), settings.seed())) {
-            LOG.info("stand-ins answer on {}", deployment.platformAddress());
+            LOG.info("stand-ins started; the platform stand-in listens on {}", deployment.platformAddress());
             signal.await();
         }
         return ExitCode.OK;
--- a/radishpass-standin/src/main/java/org/radishpass/standin/StandInSettings.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/StandInSettings.java
@@ -12,35 +12,38 @@
 import org.radishpass.standin.engine.EngineSettings;
 
 /**
- * The settings of the stand-ins.
+ * Command-line settings of the stand-ins.
  *
  * @since 0.1.0
  */
 public final class StandInSettings extends CommonSettings {
-    private static final int MOST = 10_000_000;
+    private static final int MAX_VALUE = 10_000_000;
 
     @Option(name = "--deployment", metaVar = "NAME", usage = "authority or granite-trough")
     private String deployment = "authority";
 
-    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory where processes write their ports")
+    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory in which processes write their ports files")
     private @Nullable Path runDirectory;
 
-    @Option(name = "--seed", metaVar = "N", usage = "seed of all chance")
+    @Option(name = "--seed", metaVar = "N", usage = "seed of the random generators")
     private long seed = 1;
 
-    @Option(name = "--capacity", metaVar = "N", usage = "requests that an engine batches at once")
+    @Option(name = "--capacity", metaVar = "N", usage = "most requests in an engine's batch")
     private int capacity = EngineSettings.DEFAULT.capacity();
 
-    @Option(name = "--prefill-micros", metaVar = "US", usage = "time for a prompt token that is not cached")
+    @Option(name = "--prefill-micros", metaVar = "US", usage = "prefill time of an uncached prompt token")
     private int prefillMicros = EngineSettings.DEFAULT.prefillMicrosPerToken();
 
-    @Option(name = "--decode-micros", metaVar = "US", usage = "time between tokens of an idle engine")
+    @Option(name = "--decode-micros", metaVar = "US", usage = "time between answer tokens at low load")
     private int decodeMicros = EngineSettings.DEFAULT.decodeMicrosPerToken();
 
-    @Option(name = "--cache-blocks", metaVar = "N", usage = "blocks of 16 tokens that an engine caches")
+    @Option(
+            name = "--cache-blocks",
+            metaVar = "N",
+            usage = "capacity of an engine's prefix cache, in blocks of 16 tokens")
     private int cacheBlocks = EngineSettings.DEFAULT.cacheBlocks();
 
-    @Option(name = "--report-lag-millis", metaVar = "MS", usage = "how late load reports are")
+    @Option(name = "--report-lag-millis", metaVar = "MS", usage = "delay of load reports")
     private int reportLagMillis = EngineSettings.DEFAULT.reportLagMillis();
 
     @Override
@@ -52,30 +55,30 @@
         if (runDirectory == null || !Files.isDirectory(runDirectory)) {
             faults.add("--run-dir is not a directory");
         }
-        SettingChecks.range("--capacity", capacity, 1, MOST, faults);
-        SettingChecks.range("--prefill-micros", prefillMicros, 0, MOST, faults);
-        SettingChecks.range("--decode-micros", decodeMicros, 0, MOST, faults);
-        SettingChecks.range("--cache-blocks", cacheBlocks, 0, MOST, faults);
-        SettingChecks.range("--report-lag-millis", reportLagMillis, 0, MOST, faults);
+        SettingChecks.range("--capacity", capacity, 1, MAX_VALUE, faults);
+        SettingChecks.range("--prefill-micros", prefillMicros, 0, MAX_VALUE, faults);
+        SettingChecks.range("--decode-micros", decodeMicros, 0, MAX_VALUE, faults);
+        SettingChecks.range("--cache-blocks", cacheBlocks, 0, MAX_VALUE, faults);
+        SettingChecks.range("--report-lag-millis", reportLagMillis, 0, MAX_VALUE, faults);
         return faults;
     }
 
-    /** Returns the deployment. */
+    /** Returns the deployment to run. */
     public DeploymentKind deployment() {
         return DeploymentKind.byFlagName(deployment).orElseThrow();
     }
 
-    /** Returns the directory of ports files. */
+    /** Returns the directory of the ports files. */
     public Path runDirectory() {
         return java.util.Objects.requireNonNull(runDirectory);
     }
 
-    /** Returns the seed. */
+    /** Returns the seed of the random generators. */
     public long seed() {
         return seed;
     }
 
-    /** Returns how engines behave. */
+    /** Returns the settings of the stand-in engines. */
     public EngineSettings engine() {
         return new EngineSettings(capacity, prefillMicros, decodeMicros, cacheBlocks, reportLagMillis, true);
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/deployment/LoadSampler.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/deployment/LoadSampler.java
@@ -7,7 +7,7 @@
 import org.radishpass.standin.engine.EngineStandIn;
 
 /**
- * Samples the engines' own load, for skew over time.
+ * Samples the true load of the engines, from which load skew over time is calculated.
  *
  * @since 0.1.0
  */
@@ -31,8 +31,8 @@
         samples.clear();
     }
 
-    /** Returns the samples, each the load of every engine that served then. */
-    synchronized Map<String, Object> view() {
+    /** Returns all samples. Each sample lists the running requests of every engine that was serving at that time. */
+    synchronized Map<String, Object> snapshot() {
         return Map.of("samples", List.copyOf(samples));
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/deployment/StandInDeployment.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/deployment/StandInDeployment.java
@@ -36,20 +36,20 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * One deployment's platform, engines and services in one process, with faults that are switched over HTTP.
+ * Platform, engines and services of one deployment in one process. Faults are injected over HTTP.
  *
  * @since 0.1.0
  */
 public final class StandInDeployment implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int OK = 200;
-    private static final int BAD = 400;
-    private static final Duration LIST_PERIOD = Duration.ofMillis(300);
-    private static final Duration SAMPLE_PERIOD = Duration.ofMillis(100);
+    private static final int BAD_REQUEST = 400;
+    private static final Duration VM_LIST_REFRESH_PERIOD = Duration.ofMillis(300);
+    private static final Duration LOAD_SAMPLE_PERIOD = Duration.ofMillis(100);
 
     private final ConcurrentHashMap<String, EngineStandIn> engines = new ConcurrentHashMap<>();
     private final ConcurrentHashMap<String, ServiceStandIn> services = new ConcurrentHashMap<>();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     private final HttpRuntime runtime;
     private final TableStandIn table;
     private final VmListStandIn vms;
@@ -59,12 +59,12 @@
     private final DisposableServer faultServer;
 
     /**
-     * Starts a deployment.
+     * Starts the stand-ins of a deployment and writes their ports file.
      *
-     * @param kind which one
-     * @param runDirectory where routers write their ports
-     * @param engineSettings how its engines behave
-     * @param seed the seed of its chance
+     * @param kind the deployment
+     * @param runDirectory the directory of the ports files
+     * @param engineSettings the settings of the engines
+     * @param seed the seed of the random generators
      * @throws IOException if the ports file cannot be written
      */
     public StandInDeployment(DeploymentKind kind, Path runDirectory, EngineSettings engineSettings, long seed)
@@ -75,58 +75,59 @@
         this.vms = new VmListStandIn(kind.dataCentres(), runDirectory, network, Clock.systemUTC());
         this.platform = new PlatformServer(runtime, table, new ObjectStoreStandIn(), vms);
         startEndpoints(kind, engineSettings, seed);
-        this.faultServer = runtime.server(HOST, 0).route(this::routes).bindNow();
-        var listing = timer.scheduleAtFixedRate(vms::refresh, 0, LIST_PERIOD.toMillis(), TimeUnit.MILLISECONDS);
-        var sampling = timer.scheduleAtFixedRate(
-                sampler::sample, SAMPLE_PERIOD.toMillis(), SAMPLE_PERIOD.toMillis(), TimeUnit.MILLISECONDS);
-        if (listing.isCancelled() || sampling.isCancelled()) {
-            throw new IllegalStateException("the timer did not start");
+        this.faultServer = runtime.server(HOST, 0).route(this::addRoutes).bindNow();
+        var refreshTask = scheduler.scheduleAtFixedRate(
+                vms::refresh, 0, VM_LIST_REFRESH_PERIOD.toMillis(), TimeUnit.MILLISECONDS);
+        var samplingTask = scheduler.scheduleAtFixedRate(
+                sampler::sample, LOAD_SAMPLE_PERIOD.toMillis(), LOAD_SAMPLE_PERIOD.toMillis(), TimeUnit.MILLISECONDS);
+        if (refreshTask.isCancelled() || samplingTask.isCancelled()) {
+            throw new IllegalStateException("could not schedule the VM list refresh and the load sampling");
         }
-        writePorts(kind, runDirectory);
+        writePortsFile(kind, runDirectory);
     }
 
-    /** Returns the platform's address. */
+    /** Returns the base URL of the platform. */
     public String platformAddress() {
         return "http://" + HOST + ':' + platform.port();
     }
 
-    /** Returns the engines. */
+    /** Returns the stand-in engines. */
     public Collection<EngineStandIn> engines() {
         return engines.values();
     }
 
-    /** Returns the plain services. */
+    /** Returns the stand-in plain services. */
     public Collection<ServiceStandIn> services() {
         return services.values();
     }
 
-    /** Returns the table service. */
+    /** Returns the stand-in table service. */
     public TableStandIn table() {
         return table;
     }
 
-    /** Returns the VM list. */
+    /** Returns the stand-in VM list. */
     public VmListStandIn vms() {
         return vms;
     }
 
-    /** Returns the network between data centres. */
+    /** Returns the simulated network between the data centres. */
     public Network network() {
         return network;
     }
 
     /**
-     * Returns the platform's address as a data centre sees it.
+     * Returns the base URL under which a data centre reaches the platform.
      *
-     * @param dataCentre the data centre
+     * @param dataCentre the name of the data centre
      */
     public String platformAddress(String dataCentre) {
-        return "http://" + HOST + ':' + network.port(dataCentre, Network.PLATFORM, platform.port());
+        return "http://" + HOST + ':' + network.observedPort(dataCentre, Network.PLATFORM, platform.port());
     }
 
     @Override
     public void close() {
-        timer.shutdownNow();
+        scheduler.shutdownNow();
         faultServer.disposeNow(Duration.ofSeconds(1));
         platform.close();
         engines.values().forEach(EngineStandIn::close);
@@ -138,23 +139,23 @@
     private void startEndpoints(DeploymentKind kind, EngineSettings engineSettings, long seed) {
         WeightStoreStandIn weights = new WeightStoreStandIn(Duration.ofMillis(60));
         String incarnation = Long.toString(Clock.systemUTC().millis(), Character.MAX_RADIX);
-        long nextSeed = seed;
+        long lastSeed = seed;
         for (String dataCentre : kind.dataCentres()) {
-            for (int i = 1; i <= kind.engines(dataCentre); i++) {
+            for (int i = 1; i <= kind.engineCount(dataCentre); i++) {
                 String id = "engine-" + dataCentre + '-' + i;
-                EngineSettings own = engineSettings.checkingOrders(i % 2 == 1);
-                EngineStandIn engine = new EngineStandIn(id, incarnation, own, runtime, weights, ++nextSeed);
+                EngineSettings settings = engineSettings.withRejectsStaleOrders(i % 2 == 1);
+                EngineStandIn engine = new EngineStandIn(id, incarnation, settings, runtime, weights, ++lastSeed);
                 engines.put(id, engine);
                 vms.add(new VmEntry(id, incarnation, "engine", dataCentre, HOST, engine.port()));
             }
-            String id = kind.service() + '-' + dataCentre;
-            ServiceStandIn service = new ServiceStandIn(id, incarnation, kind.service(), runtime, ++nextSeed);
+            String id = kind.serviceName() + '-' + dataCentre;
+            ServiceStandIn service = new ServiceStandIn(id, incarnation, kind.serviceName(), runtime, ++lastSeed);
             services.put(id, service);
             vms.add(new VmEntry(id, incarnation, "runner", dataCentre, HOST, service.port()));
         }
     }
 
-    private void writePorts(DeploymentKind kind, Path runDirectory) throws IOException {
+    private void writePortsFile(DeploymentKind kind, Path runDirectory) throws IOException {
         Map<String, String> platforms = new LinkedHashMap<>();
         kind.dataCentres().forEach(name -> platforms.put(name, platformAddress(name)));
         PortsFile.write(
@@ -168,19 +169,21 @@
                         "http://" + HOST + ':' + faultServer.port()));
     }
 
-    private void routes(HttpServerRoutes routes) {
-        routes.put("/faults/table", json(json -> table.faults(TableFaults.of(json))))
-                .put("/faults/list", json(json -> vms.lag(json.path("lagMillis").asLong())))
-                .put("/faults/links", json(this::cutLink))
-                .put("/faults/leaving/{id}", this::leaving)
-                .put("/faults/engines/{id}", this::engineFaults)
-                .put("/faults/services/{id}", this::serviceFaults)
+    private void addRoutes(HttpServerRoutes routes) {
+        routes.put("/faults/table", jsonHandler(json -> table.faults(TableFaults.fromJson(json))))
+                .put(
+                        "/faults/list",
+                        jsonHandler(json -> vms.lag(json.path("lagMillis").asLong())))
+                .put("/faults/links", jsonHandler(this::updateLink))
+                .put("/faults/leaving/{id}", this::updateLeaving)
+                .put("/faults/engines/{id}", this::updateEngineFaults)
+                .put("/faults/services/{id}", this::updateServiceFaults)
                 .get("/audit", (request, response) -> HttpJson.send(response, OK, audit()))
-                .get("/load", (request, response) -> HttpJson.send(response, OK, sampler.view()))
-                .put("/load/reset", json(json -> sampler.reset()));
+                .get("/load", (request, response) -> HttpJson.send(response, OK, sampler.snapshot()))
+                .put("/load/reset", jsonHandler(json -> sampler.reset()));
     }
 
-    private static java.util.function.BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> json(
+    private static java.util.function.BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> jsonHandler(
             java.util.function.Consumer<JsonNode> action) {
         return (request, response) -> HttpJson.read(request).flatMap(json -> {
             action.accept(json);
@@ -188,14 +191,14 @@
         });
     }
 
-    private void cutLink(JsonNode json) {
-        network.cut(
+    private void updateLink(JsonNode json) {
+        network.setCut(
                 json.path("one").asText(),
                 json.path("other").asText(),
                 json.path("cut").asBoolean());
     }
 
-    private Publisher<Void> leaving(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> updateLeaving(HttpServerRequest request, HttpServerResponse response) {
         String id = String.valueOf(request.param("id"));
         return HttpJson.read(request).flatMap(json -> {
             vms.leaving(id, json.path("leaving").asBoolean(true));
@@ -203,37 +206,46 @@
         });
     }
 
-    private Publisher<Void> engineFaults(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> updateEngineFaults(HttpServerRequest request, HttpServerResponse response) {
         EngineStandIn engine = engines.get(String.valueOf(request.param("id")));
         return HttpJson.read(request).flatMap(json -> {
             if (engine == null) {
-                return Mono.from(HttpJson.send(response, BAD, Map.of("error", "no such engine")));
+                return Mono.from(HttpJson.send(response, BAD_REQUEST, Map.of("error", "no such engine")));
             }
-            engine.faults(EngineFaults.of(json));
+            engine.faults(EngineFaults.fromJson(json));
             return Mono.from(HttpJson.send(response, OK, Map.of("done", true)));
         });
     }
 
-    private Publisher<Void> serviceFaults(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> updateServiceFaults(HttpServerRequest request, HttpServerResponse response) {
         ServiceStandIn service = services.get(String.valueOf(request.param("id")));
         return HttpJson.read(request).flatMap(json -> {
             if (service == null) {
-                return Mono.from(HttpJson.send(response, BAD, Map.of("error", "no such service")));
+                return Mono.from(HttpJson.send(response, BAD_REQUEST, Map.of("error", "no such service")));
             }
-            service.faults(ServiceFaults.of(json));
+            service.faults(ServiceFaults.fromJson(json));
             service.leaving(json.path("leaving").asBoolean(false));
             return Mono.from(HttpJson.send(response, OK, Map.of("done", true)));
         });
     }
 
     private Map<String, Object> audit() {
-        Map<String, Object> byEngine = new LinkedHashMap<>();
-        engines.forEach((id, engine) -> byEngine.put(id, engine.audit().counts()));
-        Map<String, Integer> runs = new LinkedHashMap<>();
+        Map<String, Object> countsByEngine = new LinkedHashMap<>();
+        engines.forEach((id, engine) -> countsByEngine.put(id, engine.audit().counts()));
+        Map<String, Integer> runsByOrder = new LinkedHashMap<>();
         services.values()
-                .forEach(service -> service.runs().forEach((order, count) -> runs.merge(order, count, Integer::sum)));
-        Map<String, Object> orders = new LinkedHashMap<>();
-        engines.forEach((id, engine) -> orders.put(id, engine.orders()));
-        return Map.of("engines", byEngine, "orders", runs, "engineOrders", orders, "table", table.counts());
+                .forEach(service ->
+                        service.runs().forEach((order, count) -> runsByOrder.merge(order, count, Integer::sum)));
+        Map<String, Object> ordersByEngine = new LinkedHashMap<>();
+        engines.forEach((id, engine) -> ordersByEngine.put(id, engine.orders()));
+        return Map.of(
+                "engines",
+                countsByEngine,
+                "orders",
+                runsByOrder,
+                "engineOrders",
+                ordersByEngine,
+                "table",
+                table.counts());
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/deployment/package-info.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/deployment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whole deployments made of stand-ins.
+ * Complete deployments that consist of stand-ins.
  *
  * @since 0.1.0
  */
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/Batch.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/Batch.java
@@ -8,52 +8,52 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * The places of an engine's batch, and the queue before them in order of priority.
+ * The slots of an engine's batch, and the queue of requests that wait for a slot in order of priority.
  *
  * @since 0.1.0
  */
 final class Batch {
-    private static final int MOST_QUEUED = 256;
+    private static final int MAX_QUEUED = 256;
 
-    private final PriorityQueue<Waiting> queue =
-            new PriorityQueue<>(Comparator.comparingInt(Waiting::priority).thenComparingLong(Waiting::order));
-    private final Deque<Dated> history = new ArrayDeque<>();
+    private final PriorityQueue<QueuedRequest> queue = new PriorityQueue<>(
+            Comparator.comparingInt(QueuedRequest::priority).thenComparingLong(QueuedRequest::arrivalNumber));
+    private final Deque<LoadSample> loadHistory = new ArrayDeque<>();
     private final int capacity;
     private final long reportLagNanos;
     private int running;
-    private long lastOrder;
+    private long lastArrivalNumber;
 
     Batch(int capacity, long reportLagNanos) {
         this.capacity = capacity;
         this.reportLagNanos = reportLagNanos;
     }
 
-    /** Takes a place, or waits for one; empty if the queue is full. */
-    synchronized Mono<Boolean> enter(int priority) {
+    /** Acquires a slot, after waiting in the queue if all slots are taken. Completes empty if the queue is full. */
+    synchronized Mono<Boolean> acquireSlot(int priority) {
         if (running < capacity) {
             running++;
-            note();
+            recordLoad();
             return Mono.just(true);
         }
-        if (queue.size() >= MOST_QUEUED) {
+        if (queue.size() >= MAX_QUEUED) {
             return Mono.empty();
         }
-        Waiting waiting = new Waiting(priority, ++lastOrder, Sinks.one());
-        queue.add(waiting);
-        return waiting.turn().asMono().doOnCancel(() -> abandon(waiting));
+        QueuedRequest request = new QueuedRequest(priority, ++lastArrivalNumber, Sinks.one());
+        queue.add(request);
+        return request.admission().asMono().doOnCancel(() -> removeQueued(request));
     }
 
-    /** Gives a place up. */
-    synchronized void leave() {
-        Waiting next = queue.poll();
+    /** Passes a slot on to the next queued request, or frees the slot if no request is queued. */
+    synchronized void releaseSlot() {
+        QueuedRequest next = queue.poll();
         while (next != null) {
-            if (next.turn().tryEmitValue(true).isSuccess()) {
+            if (next.admission().tryEmitValue(true).isSuccess()) {
                 return;
             }
             next = queue.poll();
         }
         running--;
-        note();
+        recordLoad();
     }
 
     synchronized int running() {
@@ -64,29 +64,29 @@
         return queue.size();
     }
 
-    /** Returns the load as the engine reports it: as it was a while ago. */
+    /** Returns the number of running requests as reported by the engine, which lags by the report delay. */
     synchronized int reportedRunning(long nowNanos) {
-        while (history.size() > 1 && nowNanos - secondAt() >= reportLagNanos) {
-            history.removeFirst();
+        while (loadHistory.size() > 1 && nowNanos - secondSampleNanos() >= reportLagNanos) {
+            loadHistory.removeFirst();
         }
-        return history.isEmpty() ? 0 : history.getFirst().running();
+        return loadHistory.isEmpty() ? 0 : loadHistory.getFirst().running();
     }
 
-    private synchronized void abandon(Waiting waiting) {
-        queue.remove(waiting);
+    private synchronized void removeQueued(QueuedRequest request) {
+        queue.remove(request);
     }
 
-    private long secondAt() {
-        java.util.Iterator<Dated> each = history.iterator();
-        each.next();
-        return each.next().atNanos();
+    private long secondSampleNanos() {
+        java.util.Iterator<LoadSample> samples = loadHistory.iterator();
+        samples.next();
+        return samples.next().atNanos();
     }
 
-    private void note() {
-        history.addLast(new Dated(System.nanoTime(), running));
+    private void recordLoad() {
+        loadHistory.addLast(new LoadSample(System.nanoTime(), running));
     }
 
-    private record Waiting(int priority, long order, Sinks.One<Boolean> turn) {}
+    private record QueuedRequest(int priority, long arrivalNumber, Sinks.One<Boolean> admission) {}
 
-    private record Dated(long atNanos, int running) {}
+    private record LoadSample(long atNanos, int running) {}
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineAudit.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineAudit.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what an engine did, apart from what anyone else believes.
+ * Counts the requests and tokens that an engine processed, independently of what routers and callers report.
  *
  * @since 0.1.0
  */
@@ -16,10 +16,10 @@
     private final LongAdder finished = new LongAdder();
     private final LongAdder cancelled = new LongAdder();
 
-    void started(long prompt, long cached) {
+    void started(long requestPromptTokens, long requestCachedTokens) {
         started.increment();
-        promptTokens.add(prompt);
-        cachedTokens.add(cached);
+        promptTokens.add(requestPromptTokens);
+        cachedTokens.add(requestCachedTokens);
     }
 
     void finished() {
@@ -30,7 +30,7 @@
         cancelled.increment();
     }
 
-    /** Returns the counts by name. */
+    /** Returns all counts by name. */
     public Map<String, Long> counts() {
         Map<String, Long> counts = new LinkedHashMap<>();
         counts.put("started", started.sum());
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineFaults.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineFaults.java
@@ -3,25 +3,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The faults of an engine that are switched on.
+ * The faults that are injected into an engine.
  *
- * @param crossed the share of answers that name another request
- * @param cut the share of streams that break off in the middle
- * @param frozen whether it stops without closing anything
- * @param down whether it closes connections at once, as if the machine were gone
- * @param declining whether it refuses all requests before running them
+ * @param mismatchedIdProbability the probability, from 0 to 1, that an answer carries another request's identifier
+ * @param cutStreamProbability the probability, from 0 to 1, that a stream breaks off in the middle
+ * @param frozen whether the engine stops answering but keeps its connections open
+ * @param down whether the engine closes connections at once, as if the machine were gone
+ * @param declining whether the engine refuses all requests before running them
  * @since 0.1.0
  */
-public record EngineFaults(double crossed, double cut, boolean frozen, boolean down, boolean declining) {
+public record EngineFaults(
+        double mismatchedIdProbability, double cutStreamProbability, boolean frozen, boolean down, boolean declining) {
     /** No faults. */
     public static final EngineFaults NONE = new EngineFaults(0, 0, false, false, false);
 
     /**
-     * Reads faults from JSON; what is left out is off.
+     * Reads faults from JSON. A fault whose key is missing is off.
      *
-     * @param json the faults
+     * @param json the object with a key for each fault
      */
-    public static EngineFaults of(JsonNode json) {
+    public static EngineFaults fromJson(JsonNode json) {
         return new EngineFaults(
                 json.path("crossed").asDouble(0),
                 json.path("cut").asDouble(0),
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineOrders.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineOrders.java
@@ -11,27 +11,27 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Carries out orders: load and unload, wake and sleep, role, drain.
+ * Executes a controller's orders to an engine: load, unload, wake, sleep, role and drain.
  *
  * @since 0.1.0
  */
 final class EngineOrders {
     private static final int OK = 200;
-    private static final int BAD = 400;
-    private static final int OLD = 409;
-    private static final Duration WAKE_TIME = Duration.ofMillis(800);
+    private static final int BAD_REQUEST = 400;
+    private static final int CONFLICT = 409;
+    private static final Duration WAKE_DURATION = Duration.ofMillis(800);
 
     private final Set<String> pools = new ConcurrentSkipListSet<>();
-    private final List<Map<String, Object>> ledger = new ArrayList<>();
-    private final boolean checks;
+    private final List<Map<String, Object>> receivedOrders = new ArrayList<>();
+    private final boolean rejectsStaleOrders;
     private final WeightStoreStandIn weights;
     private final PrefixCache cache;
     private long highestEpoch;
     private volatile String state = "READY";
     private volatile String role = "any";
 
-    EngineOrders(boolean checks, WeightStoreStandIn weights, PrefixCache cache) {
-        this.checks = checks;
+    EngineOrders(boolean rejectsStaleOrders, WeightStoreStandIn weights, PrefixCache cache) {
+        this.rejectsStaleOrders = rejectsStaleOrders;
         this.weights = weights;
         this.cache = cache;
     }
@@ -48,36 +48,37 @@
         return role;
     }
 
-    synchronized List<Map<String, Object>> ledger() {
-        return List.copyOf(ledger);
+    synchronized List<Map<String, Object>> receivedOrders() {
+        return List.copyOf(receivedOrders);
     }
 
-    /** Carries out an order and returns the HTTP status. */
-    Mono<Integer> carryOut(JsonNode order) {
+    /** Executes an order and returns the HTTP status of the response. */
+    Mono<Integer> execute(JsonNode order) {
         long epoch = order.path("epoch").asLong();
-        if (!accept(epoch, order)) {
-            return Mono.just(OLD);
+        if (!recordOrder(epoch, order)) {
+            return Mono.just(CONFLICT);
         }
         String pool = order.path("pool").asText();
         return switch (order.path("type").asText()) {
             case "load" -> load(pool);
-            case "unload" -> now(() -> pools.remove(pool));
+            case "unload" -> apply(() -> pools.remove(pool));
             case "wake" -> wake();
             case "sleep" ->
-                now(() -> {
+                apply(() -> {
                     state = "ASLEEP";
                     cache.clear();
                 });
-            case "role" -> now(() -> role = order.path("role").asText());
-            case "drain" -> now(() -> state = "LEAVING");
-            default -> Mono.just(BAD);
+            case "role" -> apply(() -> role = order.path("role").asText());
+            case "drain" -> apply(() -> state = "LEAVING");
+            default -> Mono.just(BAD_REQUEST);
         };
     }
 
-    private synchronized boolean accept(long epoch, JsonNode order) {
-        boolean accepted = !checks || epoch >= highestEpoch;
+    /** Records an order and returns whether the order is accepted, which depends on its epoch. */
+    private synchronized boolean recordOrder(long epoch, JsonNode order) {
+        boolean accepted = !rejectsStaleOrders || epoch >= highestEpoch;
         highestEpoch = Math.max(highestEpoch, epoch);
-        ledger.add(Map.of(
+        receivedOrders.add(Map.of(
                 "type",
                 order.path("type").asText(),
                 "pool",
@@ -95,7 +96,7 @@
         if (pools.contains(pool)) {
             return Mono.just(OK);
         }
-        return Mono.delay(weights.read(System.nanoTime())).map(tick -> {
+        return Mono.delay(weights.enqueueRead(System.nanoTime())).map(tick -> {
             pools.add(pool);
             return OK;
         });
@@ -105,13 +106,13 @@
         if (!"ASLEEP".equals(state)) {
             return Mono.just(OK);
         }
-        return Mono.delay(WAKE_TIME).map(tick -> {
+        return Mono.delay(WAKE_DURATION).map(tick -> {
             state = "READY";
             return OK;
         });
     }
 
-    private static Mono<Integer> now(Runnable change) {
+    private static Mono<Integer> apply(Runnable change) {
         return Mono.fromCallable(() -> {
             change.run();
             return OK;
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineSettings.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineSettings.java
@@ -1,14 +1,15 @@
 package org.radishpass.standin.engine;
 
 /**
- * How a stand-in engine behaves.
+ * Settings of a stand-in engine.
  *
- * @param capacity the requests that it batches at once
- * @param prefillMicrosPerToken the time for a prompt token that is not cached
- * @param decodeMicrosPerToken the time between tokens of an engine with one request
- * @param cacheBlocks the prompt blocks that its cache holds
- * @param reportLagMillis how late its load report is
- * @param checksOrders whether it refuses orders with an old fencing number
+ * @param capacity the most requests in the batch
+ * @param prefillMicrosPerToken the prefill time of an uncached prompt token, in microseconds
+ * @param decodeMicrosPerToken the base time between answer tokens, in microseconds, which grows by up to half as
+ *     the batch fills
+ * @param cacheBlocks the capacity of the prefix cache, in blocks
+ * @param reportLagMillis the delay of load reports, in milliseconds
+ * @param rejectsStaleOrders whether orders with an outdated fencing number are refused
  * @since 0.1.0
  */
 public record EngineSettings(
@@ -17,17 +18,22 @@
         int decodeMicrosPerToken,
         int cacheBlocks,
         int reportLagMillis,
-        boolean checksOrders) {
-    /** An engine as in the demo. */
+        boolean rejectsStaleOrders) {
+    /** The settings of the engines in the demo. */
     public static final EngineSettings DEFAULT = new EngineSettings(32, 60, 4_000, 4_000, 500, true);
 
     /**
-     * Returns this with another answer to old orders.
+     * Returns these settings with stale orders either rejected or accepted.
      *
-     * @param newChecksOrders whether it refuses orders with an old fencing number
+     * @param newRejectsStaleOrders whether orders with an outdated fencing number are refused
      */
-    public EngineSettings checkingOrders(boolean newChecksOrders) {
+    public EngineSettings withRejectsStaleOrders(boolean newRejectsStaleOrders) {
         return new EngineSettings(
-                capacity, prefillMicrosPerToken, decodeMicrosPerToken, cacheBlocks, reportLagMillis, newChecksOrders);
+                capacity,
+                prefillMicrosPerToken,
+                decodeMicrosPerToken,
+                cacheBlocks,
+                reportLagMillis,
+                newRejectsStaleOrders);
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineStandIn.java
@@ -23,7 +23,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * A model engine that takes the time of one, caches prefixes like one, and fails like one.
+ * Stand-in for a model engine. Simulates prefill and decode times, prefix caching and failures.
  *
  * @since 0.1.0
  */
@@ -32,9 +32,9 @@
     private static final int UNAVAILABLE = 503;
     private static final String REQUEST_ID = "X-Request-Id";
     private static final String ATTEMPT = "X-Attempt";
-    private static final double LOAD_SLOWDOWN = 0.5;
+    private static final double FULL_BATCH_SLOWDOWN = 0.5;
 
-    private final AtomicLong sequence = new AtomicLong();
+    private final AtomicLong statusSequence = new AtomicLong();
     private final String id;
     private final String incarnation;
     private final EngineSettings settings;
@@ -48,14 +48,14 @@
     private volatile EngineFaults faults = EngineFaults.NONE;
 
     /**
-     * Starts an engine.
+     * Starts an engine that listens on a free local port.
      *
-     * @param id its identity
-     * @param incarnation which start of it this is
-     * @param settings how it behaves
-     * @param runtime the event loops
-     * @param weights where it gets weights from
-     * @param seed the seed of its chance
+     * @param id the engine's identifier
+     * @param incarnation the identifier of this start of the engine
+     * @param settings the engine's settings
+     * @param runtime the HTTP event loops
+     * @param weights the store from which model weights are loaded
+     * @param seed the seed of the random generators
      */
     public EngineStandIn(
             String id,
@@ -72,52 +72,52 @@
                 Duration.ofMillis(settings.reportLagMillis()).toNanos());
         this.events = new CacheEvents(seed);
         this.cache = new PrefixCache(settings.cacheBlocks(), events);
-        this.orders = new EngineOrders(settings.checksOrders(), weights, cache);
+        this.orders = new EngineOrders(settings.rejectsStaleOrders(), weights, cache);
         this.random = new Random(seed);
-        this.server = runtime.server("127.0.0.1", 0).route(this::routes).bindNow();
+        this.server = runtime.server("127.0.0.1", 0).route(this::addRoutes).bindNow();
     }
 
-    /** Returns its identity. */
+    /** Returns the engine's identifier. */
     public String id() {
         return id;
     }
 
-    /** Returns which start of it this is. */
+    /** Returns the identifier of this start of the engine. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port on which the engine listens. */
     public int port() {
         return server.port();
     }
 
-    /** Returns the requests that run now. */
+    /** Returns the number of requests that are running now. */
     public int running() {
         return batch.running();
     }
 
-    /** Tells whether it is there to take work. */
+    /** Returns whether the engine is ready, is not down and has loaded at least one pool's model. */
     public boolean serving() {
         return "READY".equals(orders.state())
                 && !faults.down()
                 && !orders.pools().isEmpty();
     }
 
-    /** Returns what it did. */
+    /** Returns the counts of the requests and tokens that the engine processed. */
     public EngineAudit audit() {
         return audit;
     }
 
-    /** Returns the orders that it was given. */
+    /** Returns all orders that the engine received, in order of arrival, with whether each was accepted. */
     public List<Map<String, Object>> orders() {
-        return orders.ledger();
+        return orders.receivedOrders();
     }
 
     /**
-     * Switches faults.
+     * Replaces the injected faults.
      *
-     * @param newFaults the faults from now on
+     * @param newFaults the faults to inject from now on
      */
     public void faults(EngineFaults newFaults) {
         this.faults = newFaults;
@@ -128,16 +128,16 @@
         server.disposeNow(Duration.ofSeconds(1));
     }
 
-    private void routes(HttpServerRoutes routes) {
-        routes.post("/v1/chat/completions", faulty(this::chat))
-                .get("/v1/status", faulty((request, response) -> HttpJson.send(response, OK, status())))
-                .post("/v1/orders", faulty(this::order))
-                .get("/v1/cache-events", faulty(this::cacheEvents))
-                .get("/v1/kv", faulty((request, response) -> HttpJson.send(response, OK, cache.export())))
-                .post("/v1/kv", faulty(this::importCache));
+    private void addRoutes(HttpServerRoutes routes) {
+        routes.post("/v1/chat/completions", withFaults(this::handleChat))
+                .get("/v1/status", withFaults((request, response) -> HttpJson.send(response, OK, status())))
+                .post("/v1/orders", withFaults(this::handleOrder))
+                .get("/v1/cache-events", withFaults(this::sendCacheEvents))
+                .get("/v1/kv", withFaults((request, response) -> HttpJson.send(response, OK, cache.export())))
+                .post("/v1/kv", withFaults(this::importCache));
     }
 
-    private java.util.function.BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> faulty(
+    private java.util.function.BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> withFaults(
             java.util.function.BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> handler) {
         return (request, response) -> {
             if (faults.down()) {
@@ -151,7 +151,7 @@
     private Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("incarnation", incarnation);
-        status.put("sequence", sequence.incrementAndGet());
+        status.put("sequence", statusSequence.incrementAndGet());
         status.put("state", orders.state());
         status.put("pools", orders.pools());
         status.put("role", orders.role());
@@ -161,16 +161,17 @@
         return status;
     }
 
-    private Publisher<Void> order(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> handleOrder(HttpServerRequest request, HttpServerResponse response) {
         return HttpJson.read(request)
-                .flatMap(orders::carryOut)
+                .flatMap(orders::execute)
                 .flatMap(code -> Mono.from(HttpJson.send(response, code, Map.of("status", code))));
     }
 
-    private Publisher<Void> cacheEvents(HttpServerRequest request, HttpServerResponse response) {
-        int equals = request.uri().indexOf("after=");
-        long after = equals < 0 ? 0 : Long.parseLong(request.uri().substring(equals + "after=".length()));
-        return HttpJson.send(response, OK, events.after(after, System.nanoTime()));
+    private Publisher<Void> sendCacheEvents(HttpServerRequest request, HttpServerResponse response) {
+        int parameterStart = request.uri().indexOf("after=");
+        long afterSequence =
+                parameterStart < 0 ? 0 : Long.parseLong(request.uri().substring(parameterStart + "after=".length()));
+        return HttpJson.send(response, OK, events.eventsAfter(afterSequence, System.nanoTime()));
     }
 
     private Publisher<Void> importCache(HttpServerRequest request, HttpServerResponse response) {
@@ -182,10 +183,10 @@
         });
     }
 
-    private Publisher<Void> chat(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> handleChat(HttpServerRequest request, HttpServerResponse response) {
         String requestId = String.valueOf(request.requestHeaders().get(REQUEST_ID));
-        boolean crossed = random.nextDouble() < faults.crossed();
-        response.header(REQUEST_ID, crossed ? requestId + "-other" : requestId);
+        boolean mismatched = random.nextDouble() < faults.mismatchedIdProbability();
+        response.header(REQUEST_ID, mismatched ? requestId + "-other" : requestId);
         response.header(ATTEMPT, String.valueOf(request.requestHeaders().get(ATTEMPT)));
         int priority = request.requestHeaders().getInt("X-Priority", 0);
         int resumeFrom = request.requestHeaders().getInt("X-Resume-From", 0);
@@ -193,8 +194,8 @@
             if (faults.declining() || !"READY".equals(orders.state())) {
                 return decline(response);
             }
-            return batch.enter(priority)
-                    .map(entered -> run(Prompt.read(body), resumeFrom, response))
+            return batch.acquireSlot(priority)
+                    .map(acquired -> generateAnswer(Prompt.parse(body), resumeFrom, response))
                     .switchIfEmpty(Mono.fromCallable(() -> decline(response)))
                     .flatMap(answer -> answer);
         });
@@ -205,47 +206,49 @@
         return Mono.from(HttpJson.send(response, UNAVAILABLE, Map.of("error", "declined")));
     }
 
-    private Mono<Void> run(Prompt prompt, int resumeFrom, HttpServerResponse response) {
-        int cachedTokens = Math.min(prompt.tokens(), cache.cachedBlocks(prompt.chain()) * PromptBlocks.BLOCK_TOKENS);
-        cache.add(prompt.chain());
+    private Mono<Void> generateAnswer(Prompt prompt, int resumeFrom, HttpServerResponse response) {
+        int cachedTokens =
+                Math.min(prompt.tokens(), cache.cachedPrefixBlocks(prompt.blockHashes()) * PromptBlocks.BLOCK_TOKENS);
+        cache.add(prompt.blockHashes());
         audit.started(prompt.tokens(), cachedTokens);
-        AtomicBoolean left = new AtomicBoolean();
+        AtomicBoolean slotReleased = new AtomicBoolean();
         Duration prefill =
                 Duration.ofNanos((long) (prompt.tokens() - cachedTokens) * settings.prefillMicrosPerToken() * 1_000L);
         Flux<String> tokens = Flux.range(resumeFrom, Math.max(0, prompt.maxTokens() - resumeFrom))
-                .concatMap(index -> Mono.delay(index == resumeFrom ? prefill.plus(gap()) : gap())
-                        .map(tick -> prompt.token(index)));
+                .concatMap(index -> Mono.delay(index == resumeFrom ? prefill.plus(decodeInterval()) : decodeInterval())
+                        .map(tick -> prompt.answerToken(index)));
         Mono<Void> answer = prompt.streamed()
-                ? streamed(prompt, cachedTokens, resumeFrom, tokens, response)
-                : whole(prompt, cachedTokens, tokens, response);
+                ? sendStream(prompt, cachedTokens, resumeFrom, tokens, response)
+                : sendCompletion(prompt, cachedTokens, tokens, response);
         return answer.doOnSuccess(done -> audit.finished())
                 .doOnCancel(audit::cancelled)
                 .doFinally(signal -> {
-                    if (left.compareAndSet(false, true)) {
-                        batch.leave();
+                    if (slotReleased.compareAndSet(false, true)) {
+                        batch.releaseSlot();
                     }
                 });
     }
 
-    private Duration gap() {
-        double share = (double) batch.running() / settings.capacity();
-        return Duration.ofNanos((long) (settings.decodeMicrosPerToken() * 1_000L * (1 + LOAD_SLOWDOWN * share)));
+    private Duration decodeInterval() {
+        double batchShare = (double) batch.running() / settings.capacity();
+        return Duration.ofNanos(
+                (long) (settings.decodeMicrosPerToken() * 1_000L * (1 + FULL_BATCH_SLOWDOWN * batchShare)));
     }
 
-    private Mono<Void> streamed(
+    private Mono<Void> sendStream(
             Prompt prompt, int cachedTokens, int resumeFrom, Flux<String> tokens, HttpServerResponse response) {
         response.header(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
-        boolean cut = random.nextDouble() < faults.cut();
+        boolean cut = random.nextDouble() < faults.cutStreamProbability();
         Flux<String> events = tokens.index()
-                .map(token -> chunk(resumeFrom + token.getT1(), token.getT2()))
-                .concatWith(Flux.just(usage(prompt, cachedTokens), "data: [DONE]\n\n"));
+                .map(token -> tokenEvent(resumeFrom + token.getT1(), token.getT2()))
+                .concatWith(Flux.just(usageEvent(prompt, cachedTokens), "data: [DONE]\n\n"));
         if (cut) {
             events = events.take(Math.max(1, prompt.maxTokens() / 2)).concatWith(Mono.defer(() -> {
                 response.withConnection(connection -> connection.dispose());
                 return Mono.never();
             }));
         }
-        Flux<String> watched = events.handle((event, sink) -> {
+        Flux<String> eventsUntilDown = events.handle((event, sink) -> {
             if (faults.down()) {
                 sink.error(new IllegalStateException("the engine is down"));
             } else {
@@ -253,13 +256,15 @@
             }
         });
         return response.send(
-                        watched.filterWhen(event -> faults.frozen() ? Mono.never() : Mono.just(true))
+                        eventsUntilDown
+                                .filterWhen(event -> faults.frozen() ? Mono.never() : Mono.just(true))
                                 .map(event -> Unpooled.wrappedBuffer(event.getBytes(StandardCharsets.UTF_8))),
                         buffer -> true)
                 .then();
     }
 
-    private Mono<Void> whole(Prompt prompt, int cachedTokens, Flux<String> tokens, HttpServerResponse response) {
+    private Mono<Void> sendCompletion(
+            Prompt prompt, int cachedTokens, Flux<String> tokens, HttpServerResponse response) {
         return tokens.collect(StringBuilder::new, StringBuilder::append).flatMap(text -> {
             Map<String, Object> message = Map.of("role", "assistant", "content", text.toString());
             Map<String, Object> answer = new LinkedHashMap<>();
@@ -270,12 +275,12 @@
         });
     }
 
-    private static String chunk(long index, String token) {
+    private static String tokenEvent(long index, String token) {
         return "id: " + index + "\ndata: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,"
                 + "\"delta\":{\"content\":\"" + token + "\"},\"finish_reason\":null}]}\n\n";
     }
 
-    private static String usage(Prompt prompt, int cachedTokens) {
+    private static String usageEvent(Prompt prompt, int cachedTokens) {
         String counts = new String(HttpJson.bytes(usageCounts(prompt, cachedTokens)), StandardCharsets.UTF_8);
         return "id: " + prompt.maxTokens() + "\ndata: {\"object\":\"chat.completion.chunk\",\"choices\":[],"
                 + "\"usage\":" + counts + "}\n\n";
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/PrefixCache.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/PrefixCache.java
@@ -6,53 +6,53 @@
 import java.util.Map;
 
 /**
- * A bounded cache of prompt prefixes in blocks of tokens, the least recently used given up first.
+ * A bounded cache of prompt prefixes in blocks of tokens, with eviction of the least recently used block.
  *
  * @since 0.1.0
  */
 final class PrefixCache {
     private final LinkedHashMap<Long, Boolean> blocks = new LinkedHashMap<>(16, 0.75f, true);
-    private final int mostBlocks;
+    private final int maxBlocks;
     private final CacheEvents events;
 
-    PrefixCache(int mostBlocks, CacheEvents events) {
-        this.mostBlocks = mostBlocks;
+    PrefixCache(int maxBlocks, CacheEvents events) {
+        this.maxBlocks = maxBlocks;
         this.events = events;
     }
 
-    /** Returns how many blocks from the start are cached. */
-    synchronized int cachedBlocks(List<Long> chain) {
-        int found = 0;
-        for (Long block : chain) {
+    /** Returns how many leading blocks of a prompt are cached. */
+    synchronized int cachedPrefixBlocks(List<Long> blockHashes) {
+        int cached = 0;
+        for (Long block : blockHashes) {
             if (blocks.get(block) == null) {
                 break;
             }
-            found++;
+            cached++;
         }
-        return found;
+        return cached;
     }
 
-    /** Takes blocks into the cache. */
-    synchronized void add(List<Long> chain) {
-        for (Long block : chain) {
+    /** Adds a prompt's blocks to the cache and evicts the least recently used blocks above the capacity. */
+    synchronized void add(List<Long> blockHashes) {
+        for (Long block : blockHashes) {
             if (blocks.put(block, Boolean.TRUE) == null) {
-                events.added(block);
+                events.blockAdded(block);
             }
         }
         var oldest = blocks.entrySet().iterator();
-        while (blocks.size() > mostBlocks && oldest.hasNext()) {
+        while (blocks.size() > maxBlocks && oldest.hasNext()) {
             Map.Entry<Long, Boolean> entry = oldest.next();
-            events.removed(entry.getKey());
+            events.blockRemoved(entry.getKey());
             oldest.remove();
         }
     }
 
-    /** Returns all blocks, the least recently used first. */
+    /** Returns the hashes of all cached blocks, the least recently used first. */
     synchronized List<Long> export() {
         return new ArrayList<>(blocks.keySet());
     }
 
-    /** Empties the cache. */
+    /** Removes all blocks without publishing cache events. */
     synchronized void clear() {
         blocks.clear();
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/Prompt.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/Prompt.java
@@ -5,36 +5,37 @@
 import org.radishpass.core.cache.PromptBlocks;
 
 /**
- * What the stand-in engine reads of a request.
+ * The parts of a chat completion request that the stand-in engine uses.
  *
- * @param nonce the first word of the last message, which every token of the answer repeats
- * @param chain the prompt's blocks
- * @param tokens the prompt's tokens
- * @param maxTokens the tokens of the answer
- * @param streamed whether the answer is to be streamed
+ * @param nonce the first word of the last message, which every answer token repeats
+ * @param blockHashes the hashes of the prompt's whole blocks
+ * @param tokens the number of tokens in the prompt
+ * @param maxTokens the number of tokens in the answer
+ * @param streamed whether the caller asked for a stream
  * @since 0.1.0
  */
-record Prompt(String nonce, List<Long> chain, int tokens, int maxTokens, boolean streamed) {
-    private static final int DEFAULT_TOKENS = 16;
+record Prompt(String nonce, List<Long> blockHashes, int tokens, int maxTokens, boolean streamed) {
+    private static final int DEFAULT_MAX_TOKENS = 16;
 
-    static Prompt read(JsonNode body) {
+    static Prompt parse(JsonNode body) {
         StringBuilder text = new StringBuilder();
-        String last = "";
+        String lastMessage = "";
         for (JsonNode message : body.path("messages")) {
-            last = message.path("content").asText();
-            text.append(last).append(' ');
+            lastMessage = message.path("content").asText();
+            text.append(lastMessage).append(' ');
         }
-        String whole = text.toString();
-        int space = last.indexOf(' ');
-        String nonce = space < 0 ? last : last.substring(0, space);
-        List<Long> chain = PromptBlocks.chain(whole);
-        int tokens = (int) whole.chars().filter(c -> c == ' ').count();
-        int maxTokens = Math.max(1, body.path("max_tokens").asInt(DEFAULT_TOKENS));
-        return new Prompt(nonce, chain, tokens, maxTokens, body.path("stream").asBoolean(false));
+        String prompt = text.toString();
+        int nonceEnd = lastMessage.indexOf(' ');
+        String nonce = nonceEnd < 0 ? lastMessage : lastMessage.substring(0, nonceEnd);
+        List<Long> blockHashes = PromptBlocks.chain(prompt);
+        int tokens = (int) prompt.chars().filter(c -> c == ' ').count();
+        int maxTokens = Math.max(1, body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS));
+        return new Prompt(
+                nonce, blockHashes, tokens, maxTokens, body.path("stream").asBoolean(false));
     }
 
-    /** Returns a token of the answer, which depends on the prompt alone. */
-    String token(int index) {
+    /** Returns the answer token at an index. Answer tokens depend only on the prompt. */
+    String answerToken(int index) {
         return nonce + '-' + index + ' ';
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/package-info.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a model engine.
+ * Stand-in for a model engine.
  *
  * @since 0.1.0
  */
--- a/radishpass-standin/src/main/java/org/radishpass/standin/link/Link.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/link/Link.java
@@ -15,29 +15,29 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * Passes connections on to a local port, unless it is cut.
+ * TCP proxy to a local port. Refuses and closes connections while the link is cut.
  *
  * @since 0.1.0
  */
 final class Link {
     private static final String HOST = "127.0.0.1";
 
-    private final Set<Connection> open = ConcurrentHashMap.newKeySet();
+    private final Set<Connection> openConnections = ConcurrentHashMap.newKeySet();
     private final LoopResources loops;
-    private final int target;
-    private final BooleanSupplier cut;
+    private final int targetPort;
+    private final BooleanSupplier isCut;
     private final DisposableServer server;
 
-    Link(LoopResources loops, int target, BooleanSupplier cut) {
+    Link(LoopResources loops, int targetPort, BooleanSupplier isCut) {
         this.loops = loops;
-        this.target = target;
-        this.cut = cut;
+        this.targetPort = targetPort;
+        this.isCut = isCut;
         this.server = TcpServer.create()
                 .runOn(loops, false)
                 .host(HOST)
                 .port(0)
-                .doOnConnection(this::opened)
-                .handle(this::pass)
+                .doOnConnection(this::onConnection)
+                .handle(this::forward)
                 .bindNow();
     }
 
@@ -45,44 +45,45 @@
         return server.port();
     }
 
-    void dropIfCut() {
-        if (cut.getAsBoolean()) {
-            open.forEach(Connection::dispose);
+    void closeConnectionsIfCut() {
+        if (isCut.getAsBoolean()) {
+            openConnections.forEach(Connection::dispose);
         }
     }
 
     void close() {
-        open.forEach(Connection::dispose);
+        openConnections.forEach(Connection::dispose);
         server.disposeNow(Duration.ofSeconds(1));
     }
 
-    private void opened(Connection connection) {
-        if (cut.getAsBoolean()) {
+    private void onConnection(Connection connection) {
+        if (isCut.getAsBoolean()) {
             connection.dispose();
             return;
         }
-        open.add(connection);
-        connection.onDispose(() -> open.remove(connection));
+        openConnections.add(connection);
+        connection.onDispose(() -> openConnections.remove(connection));
     }
 
-    private Publisher<Void> pass(NettyInbound inbound, NettyOutbound outbound) {
-        if (cut.getAsBoolean()) {
+    private Publisher<Void> forward(NettyInbound inbound, NettyOutbound outbound) {
+        if (isCut.getAsBoolean()) {
             return Mono.empty();
         }
         return TcpClient.newConnection()
                 .runOn(loops, false)
                 .host(HOST)
-                .port(target)
+                .port(targetPort)
                 .connect()
-                .flatMap(onward -> {
-                    Mono<Void> there = onward.outbound()
+                .flatMap(upstream -> {
+                    Mono<Void> toTarget = upstream.outbound()
                             .send(inbound.receive().retain(), buffer -> true)
                             .then();
-                    Mono<Void> back = outbound.send(onward.inbound().receive().retain(), buffer -> true)
+                    Mono<Void> fromTarget = outbound.send(
+                                    upstream.inbound().receive().retain(), buffer -> true)
                             .then();
-                    return Mono.firstWithSignal(there.onErrorComplete(), back.onErrorComplete())
+                    return Mono.firstWithSignal(toTarget.onErrorComplete(), fromTarget.onErrorComplete())
                             .then()
-                            .doFinally(signal -> onward.dispose());
+                            .doFinally(signal -> upstream.dispose());
                 })
                 .onErrorComplete();
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/link/Network.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/link/Network.java
@@ -6,76 +6,78 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * The network between data centres: every machine is reached from another data centre through a link of its own.
+ * Simulated network between data centres. A data centre reaches each machine of another data centre through a
+ * separate link, and links can be cut.
  *
  * @since 0.1.0
  */
 public final class Network implements AutoCloseable {
-    /** The name under which the platform itself is cut off. */
+    /** The place name of the platform, which is outside all data centres. */
     public static final String PLATFORM = "platform";
 
     private final ConcurrentHashMap<String, Link> links = new ConcurrentHashMap<>();
-    private final Set<String> cut = ConcurrentHashMap.newKeySet();
+    private final Set<String> cutPairs = ConcurrentHashMap.newKeySet();
     private final LoopResources loops;
 
     /**
      * Creates a network without links.
      *
-     * @param loops the event loops
+     * @param loops the event loops on which links run
      */
     public Network(LoopResources loops) {
         this.loops = loops;
     }
 
     /**
-     * Returns the port under which a data centre sees a machine.
+     * Returns the local port through which a data centre reaches a machine.
      *
-     * @param observer the data centre
+     * @param observer the data centre that connects; empty for a direct connection
      * @param entry the machine
      */
-    public int port(String observer, VmEntry entry) {
+    public int observedPort(String observer, VmEntry entry) {
         if (observer.isEmpty() || observer.equals(entry.dataCentre())) {
             return entry.port();
         }
-        return port(observer, entry.dataCentre(), entry.port());
+        return observedPort(observer, entry.dataCentre(), entry.port());
     }
 
     /**
-     * Returns the port under which a data centre sees a port in another place. Makes the link if it is not there yet,
-     * which waits for an event loop; no lock is held meanwhile, since event loops ask here too.
+     * Returns the local port through which a data centre reaches a port in another place. Creates the link on first
+     * use, which blocks until an event loop has bound a port. No lock is held during that wait, because event loops
+     * call this method too.
      *
-     * @param observer the data centre
+     * @param observer the data centre that connects
      * @param place the other data centre, or {@link #PLATFORM}
-     * @param target the port there
+     * @param targetPort the port in the other place
      */
-    public int port(String observer, String place, int target) {
-        String key = observer + '>' + place + ':' + target;
-        Link known = links.get(key);
-        if (known != null) {
-            return known.port();
+    public int observedPort(String observer, String place, int targetPort) {
+        String key = observer + '>' + place + ':' + targetPort;
+        Link existing = links.get(key);
+        if (existing != null) {
+            return existing.port();
         }
-        Link made = new Link(loops, target, () -> isCut(observer, place));
-        Link earlier = links.putIfAbsent(key, made);
-        if (earlier == null) {
-            return made.port();
+        Link created = new Link(loops, targetPort, () -> isCut(observer, place));
+        Link concurrent = links.putIfAbsent(key, created);
+        if (concurrent == null) {
+            return created.port();
         }
-        made.close();
-        return earlier.port();
+        created.close();
+        return concurrent.port();
     }
 
     /**
-     * Cuts two places off from each other, or joins them again.
+     * Cuts all links between two places, or restores them.
      *
-     * @param one a data centre
-     * @param other another, or {@link #PLATFORM}
-     * @param isCut whether they are cut off
+     * @param one a data centre, or {@link #PLATFORM}
+     * @param other another data centre, or {@link #PLATFORM}
+     * @param isCut whether the places are cut off from each other
      */
-    public void cut(String one, String other, boolean isCut) {
+    public void setCut(String one, String other, boolean isCut) {
         if (isCut) {
-            cut.add(pair(one, other));
-            links.values().forEach(Link::dropIfCut);
+            cutPairs.add(pairKey(one, other));
+            links.values().forEach(Link::closeConnectionsIfCut);
         } else {
-            cut.remove(pair(one, other));
+            cutPairs.remove(pairKey(one, other));
         }
     }
 
@@ -85,10 +87,10 @@
     }
 
     private boolean isCut(String one, String other) {
-        return cut.contains(pair(one, other));
+        return cutPairs.contains(pairKey(one, other));
     }
 
-    private static String pair(String one, String other) {
+    private static String pairKey(String one, String other) {
         return one.compareTo(other) < 0 ? one + '|' + other : other + '|' + one;
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/link/package-info.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for the network between data centres, which can be cut.
+ * Stand-in for the network between data centres, with links that can be cut.
  *
  * @since 0.1.0
  */
--- a/radishpass-standin/src/main/java/org/radishpass/standin/package-info.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for the platform and its endpoints, with faults that are switched at run time.
+ * Stand-ins for the platform and its endpoints. Faults can be injected at run time.
  *
  * @since 0.1.0
  */
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/ObjectStoreStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/ObjectStoreStandIn.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * An object store in memory.
+ * Stand-in for the platform's object store. Keeps all objects in memory.
  *
  * @since 0.1.0
  */
@@ -12,28 +12,28 @@
     private final ConcurrentHashMap<String, byte[]> objects = new ConcurrentHashMap<>();
 
     /**
-     * Writes an object.
+     * Stores an object, replacing an earlier object with the same key.
      *
-     * @param key its key
-     * @param content its content
+     * @param key the object's key
+     * @param content the object's content
      */
     public void put(String key, byte[] content) {
         objects.put(key, content.clone());
     }
 
     /**
-     * Reads an object.
+     * Returns a copy of an object's content; empty if the key is unknown.
      *
-     * @param key its key
+     * @param key the object's key
      */
     public Optional<byte[]> get(String key) {
         return Optional.ofNullable(objects.get(key)).map(byte[]::clone);
     }
 
     /**
-     * Deletes an object.
+     * Deletes an object, if the key exists.
      *
-     * @param key its key
+     * @param key the object's key
      */
     public void delete(String key) {
         objects.remove(key);
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/PlatformServer.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/PlatformServer.java
@@ -16,7 +16,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * The platform's services behind one HTTP port.
+ * HTTP server for the stand-ins of the table service, the object store and the VM list.
  *
  * @since 0.1.0
  */
@@ -28,25 +28,25 @@
 
     private final TableStandIn table;
     private final ObjectStoreStandIn objects;
-    private final VmListStandIn vms;
+    private final VmListStandIn vmList;
     private final DisposableServer server;
 
     /**
-     * Creates a server and listens.
+     * Starts the server on a free local port.
      *
-     * @param runtime the event loops
+     * @param runtime the HTTP event loops
      * @param table the table service
      * @param objects the object store
-     * @param vms the VM list
+     * @param vmList the VM list
      */
-    public PlatformServer(HttpRuntime runtime, TableStandIn table, ObjectStoreStandIn objects, VmListStandIn vms) {
+    public PlatformServer(HttpRuntime runtime, TableStandIn table, ObjectStoreStandIn objects, VmListStandIn vmList) {
         this.table = table;
         this.objects = objects;
-        this.vms = vms;
-        this.server = runtime.server("127.0.0.1", 0).route(this::routes).bindNow();
+        this.vmList = vmList;
+        this.server = runtime.server("127.0.0.1", 0).route(this::addRoutes).bindNow();
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port on which the server listens. */
     public int port() {
         return server.port();
     }
@@ -56,52 +56,52 @@
         server.disposeNow(Duration.ofSeconds(1));
     }
 
-    private void routes(HttpServerRoutes routes) {
+    private void addRoutes(HttpServerRoutes routes) {
         routes.post("/v1/tables/transact", this::transact)
                 .get("/v1/tables/counts", (request, response) -> HttpJson.send(response, OK, table.counts()))
-                .get("/v1/vms", this::list)
-                .get("/v1/objects/{key}", this::read)
-                .put("/v1/objects/{key}", this::write)
-                .delete("/v1/objects/{key}", this::delete);
+                .get("/v1/vms", this::sendVmList)
+                .get("/v1/objects/{key}", this::readObject)
+                .put("/v1/objects/{key}", this::writeObject)
+                .delete("/v1/objects/{key}", this::deleteObject);
     }
 
     private Publisher<Void> transact(HttpServerRequest request, HttpServerResponse response) {
         return HttpJson.read(request).flatMap(transaction -> {
             long delay = table.faults().delayMillis();
-            Mono<Void> answer = Mono.defer(() -> answer(transaction, response));
-            return delay == 0 ? answer : Mono.delay(Duration.ofMillis(delay)).then(answer);
+            Mono<Void> execution = Mono.defer(() -> executeTransaction(transaction, response));
+            return delay == 0 ? execution : Mono.delay(Duration.ofMillis(delay)).then(execution);
         });
     }
 
-    private Mono<Void> answer(JsonNode transaction, HttpServerResponse response) {
-        TableAnswer answer = table.transact(transaction);
-        if (answer.lost()) {
+    private Mono<Void> executeTransaction(JsonNode transaction, HttpServerResponse response) {
+        TableResponse result = table.transact(transaction);
+        if (result.lost()) {
             response.withConnection(connection -> connection.dispose());
             return Mono.never();
         }
-        return Mono.from(HttpJson.send(response, answer.status(), answer.body()));
+        return Mono.from(HttpJson.send(response, result.status(), result.body()));
     }
 
-    private Publisher<Void> list(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> sendVmList(HttpServerRequest request, HttpServerResponse response) {
         String uri = request.uri();
-        int equals = uri.indexOf("observer=");
-        String observer = equals < 0 ? "" : uri.substring(equals + "observer=".length());
-        byte[] body = HttpJson.bytes(Map.of("vms", vms.list(observer)));
-        String tag = '"' + Long.toHexString(Rendezvous.hash(new String(body, StandardCharsets.UTF_8))) + '"';
-        response.header(HttpHeaderNames.ETAG, tag);
-        if (tag.equals(request.requestHeaders().get(HttpHeaderNames.IF_NONE_MATCH))) {
+        int parameterStart = uri.indexOf("observer=");
+        String observer = parameterStart < 0 ? "" : uri.substring(parameterStart + "observer=".length());
+        byte[] body = HttpJson.bytes(Map.of("vms", vmList.list(observer)));
+        String etag = '"' + Long.toHexString(Rendezvous.hash(new String(body, StandardCharsets.UTF_8))) + '"';
+        response.header(HttpHeaderNames.ETAG, etag);
+        if (etag.equals(request.requestHeaders().get(HttpHeaderNames.IF_NONE_MATCH))) {
             return response.status(NOT_MODIFIED).send();
         }
         return response.sendByteArray(Mono.just(body));
     }
 
-    private Publisher<Void> read(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> readObject(HttpServerRequest request, HttpServerResponse response) {
         return objects.get(String.valueOf(request.param(KEY)))
                 .<Publisher<Void>>map(content -> response.sendByteArray(Mono.just(content)))
                 .orElseGet(() -> response.status(NOT_FOUND).send());
     }
 
-    private Publisher<Void> write(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> writeObject(HttpServerRequest request, HttpServerResponse response) {
         return request.receive()
                 .aggregate()
                 .asByteArray()
@@ -110,7 +110,7 @@
                 .then(Mono.from(response.status(OK).send()));
     }
 
-    private Publisher<Void> delete(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> deleteObject(HttpServerRequest request, HttpServerResponse response) {
         objects.delete(String.valueOf(request.param(KEY)));
         return response.status(OK).send();
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/TableFaults.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/TableFaults.java
@@ -3,23 +3,23 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The faults of the table service that are switched on.
+ * The faults that are injected into the table service.
  *
- * @param outage whether it refuses everything
- * @param delayMillis how long each answer is held back
- * @param lostAnswers the share of writes whose answer is lost after they took effect
+ * @param outage whether all transactions are refused
+ * @param delayMillis the delay of each transaction, in milliseconds
+ * @param lostResponseProbability the probability, from 0 to 1, that a write is committed but its response is lost
  * @since 0.1.0
  */
-public record TableFaults(boolean outage, long delayMillis, double lostAnswers) {
+public record TableFaults(boolean outage, long delayMillis, double lostResponseProbability) {
     /** No faults. */
     public static final TableFaults NONE = new TableFaults(false, 0, 0);
 
     /**
-     * Reads faults from JSON; what is left out is off.
+     * Reads faults from JSON. A fault whose key is missing is off.
      *
-     * @param json the faults
+     * @param json the object with a key for each fault
      */
-    public static TableFaults of(JsonNode json) {
+    public static TableFaults fromJson(JsonNode json) {
         return new TableFaults(
                 json.path("outage").asBoolean(false),
                 json.path("delayMillis").asLong(0),
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/TableStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/TableStandIn.java
@@ -9,87 +9,88 @@
 import java.util.TreeMap;
 
 /**
- * A transactional table in memory, with the faults of the platform's: outage, slowness, limits, lost answers.
+ * Stand-in for the platform's table service: a transactional table in memory with rate limits. Outages and lost
+ * responses can be injected.
  *
  * @since 0.1.0
  */
 public final class TableStandIn {
-    private static final double WRITES_PER_SECOND = 400;
-    private static final double READS_PER_SECOND = 2_000;
+    private static final double MAX_WRITE_TRANSACTIONS_PER_SECOND = 400;
+    private static final double MAX_READ_TRANSACTIONS_PER_SECOND = 2_000;
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
-    private final RateLimit writes;
-    private final RateLimit reads;
+    private final TokenBucket writeLimit;
+    private final TokenBucket readLimit;
     private final Random random;
     private long lastVersion;
     private long transactions;
-    private long writing;
+    private long writeTransactions;
     private TableFaults faults = TableFaults.NONE;
 
     /**
      * Creates an empty table.
      *
-     * @param seed the seed of its chance
+     * @param seed the seed of the random generator
      */
     public TableStandIn(long seed) {
         this.random = new Random(seed);
-        this.writes = new RateLimit(WRITES_PER_SECOND, System.nanoTime());
-        this.reads = new RateLimit(READS_PER_SECOND, System.nanoTime());
+        this.writeLimit = new TokenBucket(MAX_WRITE_TRANSACTIONS_PER_SECOND, System.nanoTime());
+        this.readLimit = new TokenBucket(MAX_READ_TRANSACTIONS_PER_SECOND, System.nanoTime());
     }
 
     /**
-     * Switches faults.
+     * Replaces the injected faults.
      *
-     * @param newFaults the faults from now on
+     * @param newFaults the faults to inject from now on
      */
     public synchronized void faults(TableFaults newFaults) {
         this.faults = newFaults;
     }
 
-    /** Returns the faults in force. */
+    /** Returns the faults that are injected now. */
     public synchronized TableFaults faults() {
         return faults;
     }
 
-    /** Returns how many transactions there were and how many of them wrote. */
+    /** Returns the number of transactions within the rate limits, and how many of them contained writes. */
     public synchronized Map<String, Long> counts() {
-        return Map.of("transactions", transactions, "writing", writing);
+        return Map.of("transactions", transactions, "writing", writeTransactions);
     }
 
     /**
-     * Carries out a transaction.
+     * Executes a transaction: compares the versions of its checks, applies its writes and then reads.
      *
-     * @param transaction the transaction as JSON
+     * @param transaction the transaction, with the keys checks, writes, reads and scans
      */
-    public synchronized TableAnswer transact(JsonNode transaction) {
+    public synchronized TableResponse transact(JsonNode transaction) {
         if (faults.outage()) {
-            return TableAnswer.refused("the table service is out");
+            return TableResponse.unavailable("the table service is out");
         }
-        boolean writer = !transaction.path("writes").isEmpty();
-        RateLimit limit = writer ? writes : reads;
+        boolean hasWrites = !transaction.path("writes").isEmpty();
+        TokenBucket limit = hasWrites ? writeLimit : readLimit;
         if (!limit.tryTake(1, System.nanoTime())) {
-            return TableAnswer.limited();
+            return TableResponse.rateLimited();
         }
         transactions++;
-        writing += writer ? 1 : 0;
+        writeTransactions += hasWrites ? 1 : 0;
         for (JsonNode check : transaction.path("checks")) {
             String key = check.path("key").asText();
-            if (version(key) != check.path("version").asLong()) {
-                return TableAnswer.conflict(key);
+            if (currentVersion(key) != check.path("version").asLong()) {
+                return TableResponse.conflict(key);
             }
         }
-        write(transaction.path("writes"));
-        ObjectNode body = read(transaction);
-        boolean lost = writer && random.nextDouble() < faults.lostAnswers();
-        return TableAnswer.committed(body, lost);
+        applyWrites(transaction.path("writes"));
+        ObjectNode body = readRows(transaction);
+        boolean lost = hasWrites && random.nextDouble() < faults.lostResponseProbability();
+        return TableResponse.committed(body, lost);
     }
 
-    private void write(JsonNode writesWanted) {
-        if (writesWanted.isEmpty()) {
+    private void applyWrites(JsonNode requestedWrites) {
+        if (requestedWrites.isEmpty()) {
             return;
         }
         lastVersion++;
-        for (JsonNode write : writesWanted) {
+        for (JsonNode write : requestedWrites) {
             String key = write.path("key").asText();
             JsonNode value = write.path("value");
             if (value.isMissingNode() || value.isNull()) {
@@ -100,11 +101,11 @@
         }
     }
 
-    private ObjectNode read(JsonNode transaction) {
+    private ObjectNode readRows(JsonNode transaction) {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         ArrayNode found = body.putArray("rows");
         for (JsonNode key : transaction.path("reads")) {
-            found.add(row(key.asText(), rows.get(key.asText())));
+            found.add(rowJson(key.asText(), rows.get(key.asText())));
         }
         ArrayNode scans = body.putArray("scans");
         for (JsonNode scan : transaction.path("scans")) {
@@ -123,12 +124,12 @@
             if (found.size() >= limit || !entry.getKey().startsWith(prefix)) {
                 break;
             }
-            found.add(row(entry.getKey(), entry.getValue()));
+            found.add(rowJson(entry.getKey(), entry.getValue()));
         }
         return found;
     }
 
-    private static ObjectNode row(String key, @org.jspecify.annotations.Nullable Row row) {
+    private static ObjectNode rowJson(String key, @org.jspecify.annotations.Nullable Row row) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("key", key);
         json.put("version", row == null ? 0 : row.version());
@@ -138,7 +139,7 @@
         return json;
     }
 
-    private long version(String key) {
+    private long currentVersion(String key) {
         Row row = rows.get(key);
         return row == null ? 0 : row.version();
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmEntry.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmEntry.java
@@ -4,25 +4,25 @@
 import java.util.Map;
 
 /**
- * A machine of the stand-in deployment.
+ * A machine of the simulated deployment.
  *
- * @param id its identity
- * @param incarnation which start of it this is
- * @param kind router, engine or runner
- * @param dataCentre where it stands
- * @param host its address
- * @param port its port
+ * @param id the machine's identifier
+ * @param incarnation the identifier of this start of the machine
+ * @param kind the kind: router, engine or runner
+ * @param dataCentre the data centre in which the machine runs
+ * @param host the host on which the machine listens
+ * @param port the port on which the machine listens
  * @since 0.1.0
  */
 public record VmEntry(String id, String incarnation, String kind, String dataCentre, String host, int port) {
     /**
-     * Returns the entry as the list shows it.
+     * Returns the entry as JSON for the VM list.
      *
-     * @param shownHost the address as the observer sees it
-     * @param shownPort the port as the observer sees it
-     * @param leaving whether the platform is about to stop it
+     * @param shownHost the host under which the observer reaches the machine
+     * @param shownPort the port under which the observer reaches the machine
+     * @param leaving whether the platform is about to stop the machine
      */
-    Map<String, Object> json(String shownHost, int shownPort, boolean leaving) {
+    Map<String, Object> toJson(String shownHost, int shownPort, boolean leaving) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("id", id);
         json.put("incarnation", incarnation);
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmListStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmListStandIn.java
@@ -21,16 +21,17 @@
 import org.radishpass.standin.link.Network;
 
 /**
- * The platform's list of machines: the stand-in endpoints, and the routers that wrote a ports file. It lags.
+ * Stand-in for the platform's VM list. Contains the stand-in endpoints and the routers that wrote a ports file, as of a
+ * configurable time ago.
  *
  * @since 0.1.0
  */
 public final class VmListStandIn {
-    private static final String SUFFIX = ".vm.json";
+    private static final String PORTS_FILE_SUFFIX = ".vm.json";
 
     private final ConcurrentHashMap<String, VmEntry> endpoints = new ConcurrentHashMap<>();
     private final ConcurrentHashMap<String, Boolean> leaving = new ConcurrentHashMap<>();
-    private final Deque<Dated> history = new ArrayDeque<>();
+    private final Deque<Snapshot> history = new ArrayDeque<>();
     private final List<String> observers;
     private final Path runDirectory;
     private final Network network;
@@ -38,12 +39,12 @@
     private volatile long lagMillis;
 
     /**
-     * Creates a list.
+     * Creates an empty list.
      *
-     * @param observers the data centres that ask
-     * @param runDirectory where routers write their ports
-     * @param network how data centres see each other
-     * @param clock tells the time
+     * @param observers the data centres that request the list
+     * @param runDirectory the directory in which routers write their ports files
+     * @param network the network through which data centres reach each other
+     * @param clock the clock for the age of the list
      */
     public VmListStandIn(List<String> observers, Path runDirectory, Network network, Clock clock) {
         this.observers = observers;
@@ -53,7 +54,7 @@
     }
 
     /**
-     * Adds an endpoint, or a new start of it.
+     * Adds an endpoint, or replaces an earlier incarnation of the endpoint.
      *
      * @param entry the endpoint
      */
@@ -64,79 +65,82 @@
     /**
      * Removes an endpoint.
      *
-     * @param id the endpoint
+     * @param id the endpoint's identifier
      */
     public void remove(String id) {
         endpoints.remove(id);
     }
 
     /**
-     * Marks a machine as leaving or not.
+     * Sets whether the list shows a machine as leaving.
      *
-     * @param id the machine
-     * @param isLeaving whether it is
+     * @param id the machine's identifier
+     * @param isLeaving whether the platform is about to stop the machine
      */
     public void leaving(String id, boolean isLeaving) {
         leaving.put(id, isLeaving);
     }
 
     /**
-     * Sets how much the list lags.
+     * Sets the age of the list.
      *
-     * @param millis the lag
+     * @param millis the age in milliseconds
      */
     public void lag(long millis) {
         this.lagMillis = millis;
     }
 
-    /** Notes the machines as they are now; the list shows them after its lag. Not for event loops: it makes links. */
+    /**
+     * Takes a snapshot of the machines, which the list shows after the configured lag. Must not be called on an event
+     * loop, because creating network links blocks.
+     */
     public void refresh() {
-        List<VmEntry> now = new ArrayList<>(endpoints.values());
-        now.addAll(routers());
-        now.forEach(entry -> observers.forEach(observer -> network.port(observer, entry)));
-        note(now);
+        List<VmEntry> machines = new ArrayList<>(endpoints.values());
+        machines.addAll(readRouters());
+        machines.forEach(entry -> observers.forEach(observer -> network.observedPort(observer, entry)));
+        addSnapshot(machines);
     }
 
-    private synchronized void note(List<VmEntry> now) {
-        history.addLast(new Dated(clock.instant(), now));
-        Instant visible = clock.instant().minus(Duration.ofMillis(lagMillis));
-        while (history.size() > 1 && !second().at().isAfter(visible)) {
+    private synchronized void addSnapshot(List<VmEntry> machines) {
+        history.addLast(new Snapshot(clock.instant(), machines));
+        Instant visibleTime = clock.instant().minus(Duration.ofMillis(lagMillis));
+        while (history.size() > 1 && !secondSnapshot().time().isAfter(visibleTime)) {
             history.removeFirst();
         }
     }
 
     /**
-     * Returns the list.
+     * Returns the list as one data centre sees it, ordered by identifier.
      *
-     * @param observer the data centre that asks
+     * @param observer the data centre that requests the list; empty for direct addresses
      */
     public synchronized List<Map<String, Object>> list(String observer) {
         Collection<VmEntry> shown =
                 history.isEmpty() ? List.of() : history.getFirst().entries();
         return shown.stream()
                 .sorted(Comparator.comparing(VmEntry::id))
-                .map(entry -> entry.json(
-                        entry.host(), network.port(observer, entry), leaving.getOrDefault(entry.id(), false)))
+                .map(entry -> entry.toJson(
+                        entry.host(), network.observedPort(observer, entry), leaving.getOrDefault(entry.id(), false)))
                 .toList();
     }
 
-    private Dated second() {
-        java.util.Iterator<Dated> each = history.iterator();
-        each.next();
-        return each.next();
+    private Snapshot secondSnapshot() {
+        java.util.Iterator<Snapshot> snapshots = history.iterator();
+        snapshots.next();
+        return snapshots.next();
     }
 
-    private List<VmEntry> routers() {
+    private List<VmEntry> readRouters() {
         try (Stream<Path> files = Files.list(runDirectory)) {
-            return files.filter(file -> file.toString().endsWith(SUFFIX))
-                    .map(VmListStandIn::entry)
+            return files.filter(file -> file.toString().endsWith(PORTS_FILE_SUFFIX))
+                    .map(VmListStandIn::readPortsFile)
                     .toList();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static VmEntry entry(Path file) {
+    private static VmEntry readPortsFile(Path file) {
         try {
             JsonNode json = HttpJson.parse(Files.readAllBytes(file));
             return new VmEntry(
@@ -151,5 +155,5 @@
         }
     }
 
-    private record Dated(Instant at, List<VmEntry> entries) {}
+    private record Snapshot(Instant time, List<VmEntry> entries) {}
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/WeightStoreStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/WeightStoreStandIn.java
@@ -3,41 +3,41 @@
 import java.time.Duration;
 
 /**
- * The weight store: loads queue behind each other at a limited rate.
+ * Stand-in for the weight store. Reads are served one after another, each with the same duration.
  *
  * @since 0.1.0
  */
 public final class WeightStoreStandIn {
-    private final long nanosPerLoad;
+    private final long nanosPerRead;
     private long freeAtNanos;
-    private long loads;
+    private long reads;
 
     /**
-     * Creates a store.
+     * Creates a store without queued reads.
      *
-     * @param perLoad how long it takes to read one model or adapter
+     * @param durationPerRead the time to read one model or adapter
      */
-    public WeightStoreStandIn(Duration perLoad) {
-        this.nanosPerLoad = perLoad.toNanos();
+    public WeightStoreStandIn(Duration durationPerRead) {
+        this.nanosPerRead = durationPerRead.toNanos();
     }
 
     /**
-     * Takes the next place in the queue.
+     * Adds a read at the end of the queue.
      *
-     * @param nowNanos the time
-     * @return how long the reader has to wait for its weights
+     * @param nowNanos the current time, as of {@link System#nanoTime()}
+     * @return the time until the read is complete
      */
-    public synchronized Duration read(long nowNanos) {
-        loads++;
-        if (freeAtNanos - nowNanos < 0 || loads == 1) {
+    public synchronized Duration enqueueRead(long nowNanos) {
+        reads++;
+        if (freeAtNanos - nowNanos < 0 || reads == 1) {
             freeAtNanos = nowNanos;
         }
-        freeAtNanos += nanosPerLoad;
+        freeAtNanos += nanosPerRead;
         return Duration.ofNanos(freeAtNanos - nowNanos);
     }
 
-    /** Returns how many reads there were. */
-    public synchronized long loads() {
-        return loads;
+    /** Returns the number of reads so far. */
+    public synchronized long reads() {
+        return reads;
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/service/ServiceStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/service/ServiceStandIn.java
@@ -19,7 +19,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /**
- * A plain service that places orders or bookings, and counts how often each ran.
+ * Stand-in for a plain service that places orders or bookings. Counts how often each order ran.
  *
  * @since 0.1.0
  */
@@ -28,11 +28,11 @@
     private static final int CREATED = 201;
     private static final int UNAVAILABLE = 503;
     private static final int CAPACITY = 64;
-    private static final long WORK_MILLIS = 20;
+    private static final long BASE_LATENCY_MILLIS = 20;
     private static final String REQUEST_ID = "X-Request-Id";
     private static final String ATTEMPT = "X-Attempt";
 
-    private final AtomicLong sequence = new AtomicLong();
+    private final AtomicLong statusSequence = new AtomicLong();
     private final AtomicInteger running = new AtomicInteger();
     private final ConcurrentHashMap<String, AtomicInteger> runs = new ConcurrentHashMap<>();
     private final String id;
@@ -44,38 +44,38 @@
     private volatile boolean leaving;
 
     /**
-     * Starts a service.
+     * Starts a service that listens on a free local port.
      *
-     * @param id its identity
-     * @param incarnation which start of it this is
+     * @param id the identifier of the service's runner
+     * @param incarnation the identifier of this start of the runner
      * @param service the name of the service
-     * @param runtime the event loops
-     * @param seed the seed of its chance
+     * @param runtime the HTTP event loops
+     * @param seed the seed of the random generator
      */
     public ServiceStandIn(String id, String incarnation, String service, HttpRuntime runtime, long seed) {
         this.id = id;
         this.incarnation = incarnation;
         this.pool = "service/" + service;
         this.random = new Random(seed);
-        this.server = runtime.server("127.0.0.1", 0).route(this::routes).bindNow();
+        this.server = runtime.server("127.0.0.1", 0).route(this::addRoutes).bindNow();
     }
 
-    /** Returns its identity. */
+    /** Returns the identifier of the service's runner. */
     public String id() {
         return id;
     }
 
-    /** Returns which start of it this is. */
+    /** Returns the identifier of this start of the runner. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port on which the service listens. */
     public int port() {
         return server.port();
     }
 
-    /** Returns how often each order ran, by the number that its caller gave it. */
+    /** Returns how often each order ran, by the order number that the caller chose. */
     public Map<String, Integer> runs() {
         Map<String, Integer> counts = new LinkedHashMap<>();
         runs.forEach((order, count) -> counts.put(order, count.get()));
@@ -83,18 +83,18 @@
     }
 
     /**
-     * Switches faults.
+     * Replaces the injected faults.
      *
-     * @param newFaults the faults from now on
+     * @param newFaults the faults to inject from now on
      */
     public void faults(ServiceFaults newFaults) {
         this.faults = newFaults;
     }
 
     /**
-     * Sets whether it is leaving.
+     * Sets whether the status reports that the runner is leaving.
      *
-     * @param isLeaving whether it is
+     * @param isLeaving whether the runner is leaving
      */
     public void leaving(boolean isLeaving) {
         this.leaving = isLeaving;
@@ -105,16 +105,16 @@
         server.disposeNow(Duration.ofSeconds(1));
     }
 
-    private void routes(HttpServerRoutes routes) {
+    private void addRoutes(HttpServerRoutes routes) {
         routes.get("/v1/status", (request, response) -> HttpJson.send(response, OK, status()))
-                .post("/orders", this::place)
-                .get("/orders/{number}", this::read);
+                .post("/orders", this::handlePlaceOrder)
+                .get("/orders/{number}", this::handleReadOrder);
     }
 
     private Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("incarnation", incarnation);
-        status.put("sequence", sequence.incrementAndGet());
+        status.put("sequence", statusSequence.incrementAndGet());
         status.put("state", leaving ? "LEAVING" : "READY");
         status.put("pools", List.of(pool));
         status.put("running", running.get());
@@ -122,25 +122,25 @@
         return status;
     }
 
-    private Publisher<Void> place(HttpServerRequest request, HttpServerResponse response) {
+    private Publisher<Void> handlePlaceOrder(HttpServerRequest request, HttpServerResponse response) {
         if (faults.down()) {
             response.withConnection(connection -> connection.dispose());
             return Mono.never();
         }
-        name(request, response);
+        echoRequestHeaders(request, response);
         if (faults.declining()) {
             response.header("X-Not-Run", "true");
             return HttpJson.send(response, UNAVAILABLE, Map.of("error", "declined"));
         }
-        return HttpJson.read(request).flatMap(order -> run(order, response));
+        return HttpJson.read(request).flatMap(order -> executeOrder(order, response));
     }
 
-    private Mono<Void> run(JsonNode order, HttpServerResponse response) {
+    private Mono<Void> executeOrder(JsonNode order, HttpServerResponse response) {
         String number = order.path("number").asText();
         runs.computeIfAbsent(number, key -> new AtomicInteger()).incrementAndGet();
         running.incrementAndGet();
-        boolean lost = random.nextDouble() < faults.lostAnswers();
-        return Mono.delay(Duration.ofMillis(WORK_MILLIS + faults.delayMillis()))
+        boolean lost = random.nextDouble() < faults.lostResponseProbability();
+        return Mono.delay(Duration.ofMillis(BASE_LATENCY_MILLIS + faults.delayMillis()))
                 .flatMap(tick -> {
                     if (lost) {
                         response.withConnection(connection -> connection.dispose());
@@ -151,17 +151,17 @@
                 .doFinally(signal -> running.decrementAndGet());
     }
 
-    private Publisher<Void> read(HttpServerRequest request, HttpServerResponse response) {
-        name(request, response);
+    private Publisher<Void> handleReadOrder(HttpServerRequest request, HttpServerResponse response) {
+        echoRequestHeaders(request, response);
         String number = String.valueOf(request.param("number"));
         AtomicInteger count = runs.get(number);
         return HttpJson.send(response, OK, Map.of("number", number, "runs", count == null ? 0 : count.get()));
     }
 
-    private void name(HttpServerRequest request, HttpServerResponse response) {
+    private void echoRequestHeaders(HttpServerRequest request, HttpServerResponse response) {
         String requestId = String.valueOf(request.requestHeaders().get(REQUEST_ID));
-        boolean crossed = random.nextDouble() < faults.crossed();
-        response.header(REQUEST_ID, crossed ? requestId + "-other" : requestId);
+        boolean mismatched = random.nextDouble() < faults.mismatchedIdProbability();
+        response.header(REQUEST_ID, mismatched ? requestId + "-other" : requestId);
         response.header(ATTEMPT, String.valueOf(request.requestHeaders().get(ATTEMPT)));
     }
 }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/service/package-info.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/service/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in for a plain service.
+ * Stand-in for a plain service.
  *
  * @since 0.1.0
  */
