--- a/radishpass-load/src/main/java/org/radishpass/load/LoadMain.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/LoadMain.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 import org.radishpass.load.internal.drive.Driver;
 import org.radishpass.load.internal.drive.FleetAddresses;
-import org.radishpass.load.internal.drive.Propagation;
-import org.radishpass.load.internal.drive.Result;
+import org.radishpass.load.internal.drive.PropagationTimer;
+import org.radishpass.load.internal.drive.RequestResult;
 import org.radishpass.load.internal.experiment.Experiment;
 import org.radishpass.load.internal.plan.ProcessPlan;
 import org.radishpass.load.internal.report.Figures;
@@ -23,18 +23,19 @@
 import org.radishpass.runtime.settings.Program;
 
 /**
- * The load program: plans the processes of an experiment for the script that starts them, and drives them.
+ * Command-line program that runs experiments. Prints the command lines of an experiment's processes for the script that
+ * starts them, sends load to these processes and reports the figures.
  *
  * @since 0.1.0
  */
 public final class LoadMain {
-    private static final double BOUND = 1.25;
+    private static final double LOAD_BOUND = 1.25;
 
     private final LoadSettings settings;
     private final Experiment experiment;
     private final PrintStream out;
-    private volatile Measurement atFigures = Measurement.EMPTY;
-    private volatile Measurement atEnd = Measurement.EMPTY;
+    private volatile Measurement measurementAfterWarmup = Measurement.EMPTY;
+    private volatile Measurement measurementAtEnd = Measurement.EMPTY;
 
     private LoadMain(LoadSettings settings, Experiment experiment, PrintStream out) {
         this.settings = settings;
@@ -43,7 +44,7 @@
     }
 
     /**
-     * Runs one command.
+     * Runs the command that the command line names.
      *
      * @param arguments the command line
      */
@@ -59,20 +60,20 @@
     @SuppressWarnings("PMD.SystemPrintln")
     private static ExitCode run(LoadSettings settings) throws Exception {
         return switch (settings.command()) {
-            case "slopes" -> slopes(settings, System.out);
-            case "tables" -> tables(settings, System.out);
+            case "slopes" -> measureSlopes(settings, System.out);
+            case "tables" -> printTables(settings, System.out);
             default -> new LoadMain(settings, settings.experiment(), System.out).run();
         };
     }
 
-    private static ExitCode slopes(LoadSettings settings, PrintStream out) throws IOException {
-        SlopeReport report = new SlopeReport(SlopeBench.run(), SlopeBench.messages());
-        report.write(Objects.requireNonNull(settings.json()));
-        return tables(settings, out);
+    private static ExitCode measureSlopes(LoadSettings settings, PrintStream out) throws IOException {
+        SlopeReport report = new SlopeReport(SlopeBench.measureSeries(), SlopeBench.measureMessages());
+        report.write(Objects.requireNonNull(settings.reportFile()));
+        return printTables(settings, out);
     }
 
-    private static ExitCode tables(LoadSettings settings, PrintStream out) throws IOException {
-        SlopeReport.read(Objects.requireNonNull(settings.json())).tables().forEach(out::println);
+    private static ExitCode printTables(LoadSettings settings, PrintStream out) throws IOException {
+        SlopeReport.read(Objects.requireNonNull(settings.reportFile())).tables().forEach(out::println);
         return ExitCode.OK;
     }
 
@@ -82,8 +83,8 @@
             case "records" -> print(List.of(experiment.records()));
             case "standin" -> print(List.of(ProcessPlan.standIn(experiment, settings.runDirectory())));
             case "plan" -> print(ProcessPlan.routersAndControllers(experiment, settings.runDirectory()));
-            case "propagate" -> propagate();
-            default -> drive();
+            case "propagate" -> measurePropagation();
+            default -> runLoad();
         };
     }
 
@@ -92,71 +93,77 @@
         return ExitCode.OK;
     }
 
-    private ExitCode propagate() throws IOException, InterruptedException {
+    private ExitCode measurePropagation() throws IOException, InterruptedException {
         try (HttpRuntime runtime = new HttpRuntime("load", 3)) {
             FleetAddresses fleet = FleetAddresses.read(settings.runDirectory());
             Driver driver = new Driver(experiment, fleet, runtime, out);
             driver.awaitReady();
-            Map<String, Object> figures = new Propagation(driver, fleet, runtime).run(settings.changes());
-            RunReport.lines(figures).forEach(line -> out.println("# " + line));
-            if (settings.json() != null) {
-                RunReport.add(settings.json(), settings.policy(), figures);
+            Map<String, Object> figures = new PropagationTimer(driver, fleet, runtime).run(settings.changes());
+            RunReport.summaryLines(figures).forEach(line -> out.println("# " + line));
+            if (settings.reportFile() != null) {
+                RunReport.add(settings.reportFile(), settings.policy(), figures);
             }
             return ExitCode.OK;
         }
     }
 
-    private ExitCode drive() throws IOException, InterruptedException {
+    private ExitCode runLoad() throws IOException, InterruptedException {
         try (HttpRuntime runtime = new HttpRuntime("load", 3)) {
             FleetAddresses fleet = FleetAddresses.read(settings.runDirectory());
             Driver driver = new Driver(experiment, fleet, runtime, out);
             driver.awaitReady();
-            Map<String, Object> figures = figures(driver, fleet, runtime);
-            RunReport.lines(figures).forEach(line -> out.println("# " + line));
-            if (settings.json() != null) {
-                RunReport.add(settings.json(), settings.policy(), figures);
+            Map<String, Object> figures = runAndCollectFigures(driver, fleet, runtime);
+            RunReport.summaryLines(figures).forEach(line -> out.println("# " + line));
+            if (settings.reportFile() != null) {
+                RunReport.add(settings.reportFile(), settings.policy(), figures);
             }
-            return RunReport.sound(figures, experiment.cutsAllowed()) ? ExitCode.OK : ExitCode.FAILED;
+            return RunReport.passes(figures, experiment.cutsAllowed()) ? ExitCode.OK : ExitCode.FAILED;
         }
     }
 
-    private Map<String, Object> figures(Driver driver, FleetAddresses fleet, HttpRuntime runtime)
+    private Map<String, Object> runAndCollectFigures(Driver driver, FleetAddresses fleet, HttpRuntime runtime)
             throws InterruptedException {
-        List<Result> results = driver.run(
+        List<RequestResult> results = driver.run(
                 () -> {
-                    driver.put("/load/reset", Map.of());
-                    atFigures = Measurement.take(driver, fleet, runtime);
+                    driver.putJson("/load/reset", Map.of());
+                    measurementAfterWarmup = Measurement.take(driver, fleet, runtime);
                 },
-                () -> atEnd = Measurement.take(driver, fleet, runtime));
-        Measurement last = Measurement.take(driver, fleet, runtime);
-        long warmup = TimeUnit.SECONDS.toNanos(experiment.warmupSeconds());
-        List<Result> measured = results.stream()
-                .filter(result -> result.arrival().atNanos() >= warmup)
+                () -> measurementAtEnd = Measurement.take(driver, fleet, runtime));
+        Measurement lastMeasurement = Measurement.take(driver, fleet, runtime);
+        long warmupNanos = TimeUnit.SECONDS.toNanos(experiment.warmupSeconds());
+        List<RequestResult> measured = results.stream()
+                .filter(result -> result.arrival().atNanos() >= warmupNanos)
                 .toList();
-        Map<String, Double> bytes = atEnd.metrics()
+        Map<String, Double> controlBytesPerSecond = measurementAtEnd
+                .metrics()
                 .bytesPerSecond(
-                        atFigures.metrics(),
+                        measurementAfterWarmup.metrics(),
                         experiment.seconds(),
                         fleet.routers().size());
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.putAll(Figures.counts(results, experiment.warmupSeconds() + (double) experiment.seconds()));
-        figures.putAll(Figures.reuse(atFigures.audit(), last.audit(), measured));
-        figures.putAll(Figures.skew(atEnd.samples(), BOUND));
+        figures.putAll(Figures.reuse(measurementAfterWarmup.audit(), lastMeasurement.audit(), measured));
+        figures.putAll(Figures.skew(measurementAtEnd.samples(), LOAD_BOUND));
         figures.put("skew", figures.get("skewPeakToMean"));
         figures.put(
                 "controlBytesPerSecondPerRouter",
-                bytes.values().stream().mapToDouble(Double::doubleValue).sum());
-        figures.put("controlBytesByKind", bytes);
+                controlBytesPerSecond.values().stream()
+                        .mapToDouble(Double::doubleValue)
+                        .sum());
+        figures.put("controlBytesByKind", controlBytesPerSecond);
         double routerSeconds = (double) experiment.seconds() * fleet.routers().size();
-        double cpu = atEnd.metrics().controlCpuSeconds() - atFigures.metrics().controlCpuSeconds();
+        double controlCpuSeconds = measurementAtEnd.metrics().controlCpuSeconds()
+                - measurementAfterWarmup.metrics().controlCpuSeconds();
         figures.put("routers", fleet.routers().size());
-        figures.put("controlCpuShareOfACore", cpu / routerSeconds);
+        figures.put("controlCpuShareOfACore", controlCpuSeconds / routerSeconds);
         figures.put(
                 "heapBytesPerRouter",
-                atEnd.metrics().heapBytes() / fleet.routers().size());
-        figures.put("attemptsPerRequest", results.isEmpty() ? 0 : last.metrics().attempts() / results.size());
-        figures.putAll(Figures.times(measured));
-        figures.putAll(Figures.audit(results, last.audit()));
+                measurementAtEnd.metrics().heapBytes() / fleet.routers().size());
+        figures.put(
+                "attemptsPerRequest",
+                results.isEmpty() ? 0 : lastMeasurement.metrics().attempts() / results.size());
+        figures.putAll(Figures.firstTokenTimes(measured));
+        figures.putAll(Figures.audit(results, lastMeasurement.audit()));
         return figures;
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/LoadSettings.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/LoadSettings.java
@@ -14,7 +14,7 @@
 import org.radishpass.runtime.settings.SettingChecks;
 
 /**
- * The settings of the load program.
+ * Command-line settings of the load program.
  *
  * @since 0.1.0
  */
@@ -29,19 +29,19 @@
     private String command = "";
 
     @Argument(index = 1, metaVar = "EXPERIMENT", usage = "experiment file")
-    private @Nullable Path file;
+    private @Nullable Path experimentFile;
 
-    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory where processes write their ports")
+    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory in which processes write their ports files")
     private @Nullable Path runDirectory;
 
     @Option(name = "--policy", metaVar = "NAME", usage = "placement policy under which the fleet runs")
     private String policy = "bounded-affinity";
 
-    @Option(name = "--changes", metaVar = "N", usage = "changes of configuration to time")
+    @Option(name = "--changes", metaVar = "N", usage = "number of configuration changes to time")
     private int changes = 300;
 
-    @Option(name = "--json", metaVar = "FILE", usage = "report to write, or to add this policy to")
-    private @Nullable Path json;
+    @Option(name = "--json", metaVar = "FILE", usage = "report file to create, or to add this policy to")
+    private @Nullable Path reportFile;
 
     private @Nullable Experiment experiment;
 
@@ -55,7 +55,7 @@
             faults.add("COMMAND is '" + command + "'; write one of " + COMMANDS);
         }
         if ("slopes".equals(command) || "tables".equals(command)) {
-            SettingChecks.present("--json", json == null ? null : json.toString(), faults);
+            SettingChecks.present("--json", reportFile == null ? null : reportFile.toString(), faults);
             return faults;
         }
         readExperiment(faults);
@@ -67,45 +67,45 @@
     }
 
     private void readExperiment(List<String> faults) {
-        if (file == null || !Files.isRegularFile(file)) {
+        if (experimentFile == null || !Files.isRegularFile(experimentFile)) {
             faults.add("EXPERIMENT is not a file");
             return;
         }
         try {
-            experiment = Experiment.read(file);
-            experiment.faults().forEach(fault -> faults.add(file + ": " + fault));
+            experiment = Experiment.read(experimentFile);
+            experiment.validationErrors().forEach(error -> faults.add(experimentFile + ": " + error));
         } catch (IOException e) {
-            faults.add(file + ": " + e.getMessage());
+            faults.add(experimentFile + ": " + e.getMessage());
         }
     }
 
-    /** Returns the command. */
+    /** Returns the name of the command. */
     public String command() {
         return command;
     }
 
-    /** Returns the experiment. */
+    /** Returns the experiment that was read from the experiment file. */
     public Experiment experiment() {
         return Objects.requireNonNull(experiment);
     }
 
-    /** Returns the directory of ports files. */
+    /** Returns the directory of the ports files. */
     public Path runDirectory() {
         return Objects.requireNonNull(runDirectory);
     }
 
-    /** Returns the policy. */
+    /** Returns the name of the placement policy under which the fleet runs. */
     public String policy() {
         return policy;
     }
 
-    /** Returns how many changes of configuration to time. */
+    /** Returns the number of configuration changes to time. */
     public int changes() {
         return changes;
     }
 
-    /** Returns the report to write, or null. */
-    public @Nullable Path json() {
-        return json;
+    /** Returns the report file to write, or null if no report is wanted. */
+    public @Nullable Path reportFile() {
+        return reportFile;
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/AnswerCheck.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/AnswerCheck.java
@@ -1,7 +1,7 @@
 package org.radishpass.load.internal.drive;
 
 /**
- * Checks the tokens of one answer as they come.
+ * Checks that the tokens of one answer are complete, in order and for the right request.
  *
  * @since 0.1.0
  */
@@ -11,59 +11,60 @@
 
     private final StringBuilder pending = new StringBuilder();
     private final String nonce;
-    private final int wanted;
-    private int next;
-    private int doubled;
+    private final int expectedTokens;
+    private int nextTokenIndex;
+    private int duplicateTokens;
     private boolean crossed;
     private boolean done;
     private boolean failed;
 
-    AnswerCheck(String nonce, int wanted) {
+    AnswerCheck(String nonce, int expectedTokens) {
         this.nonce = nonce;
-        this.wanted = wanted;
+        this.expectedTokens = expectedTokens;
     }
 
-    /** Takes part of a stream. */
-    void stream(String part) {
+    /** Accepts the next part of an event stream. */
+    void acceptChunk(String part) {
         pending.append(part);
         int end = pending.indexOf("\n\n");
         while (end >= 0) {
-            event(pending.substring(0, end));
+            handleEvent(pending.substring(0, end));
             pending.delete(0, end + 2);
             end = pending.indexOf("\n\n");
         }
     }
 
-    /** Takes a whole answer. */
-    void whole(String body) {
+    /** Accepts the body of an answer that is not streamed. */
+    void acceptBody(String body) {
         int start = body.indexOf(CONTENT);
         if (start >= 0) {
-            int from = start + CONTENT.length();
-            for (String token :
-                    body.substring(from, body.indexOf('"', from)).trim().split(" ", -1)) {
-                token(token);
+            int contentStart = start + CONTENT.length();
+            for (String token : body.substring(contentStart, body.indexOf('"', contentStart))
+                    .trim()
+                    .split(" ", -1)) {
+                checkToken(token);
             }
             done = true;
         }
     }
 
-    boolean begun() {
-        return next > 0;
+    boolean started() {
+        return nextTokenIndex > 0;
     }
 
-    boolean whole() {
-        return done && next == wanted && !crossed && !failed;
+    boolean complete() {
+        return done && nextTokenIndex == expectedTokens && !crossed && !failed;
     }
 
     boolean crossed() {
         return crossed;
     }
 
-    int doubled() {
-        return doubled;
+    int duplicateTokens() {
+        return duplicateTokens;
     }
 
-    private void event(String event) {
+    private void handleEvent(String event) {
         if (event.startsWith("event: error")) {
             failed = true;
         } else if (event.contains(DONE)) {
@@ -71,23 +72,24 @@
         } else {
             int start = event.indexOf(CONTENT);
             if (start >= 0) {
-                int from = start + CONTENT.length();
-                token(event.substring(from, event.indexOf('"', from)).trim());
+                int contentStart = start + CONTENT.length();
+                checkToken(event.substring(contentStart, event.indexOf('"', contentStart))
+                        .trim());
             }
         }
     }
 
-    private void token(String token) {
-        int dash = token.lastIndexOf('-');
-        if (dash < 0 || !token.substring(0, dash).equals(nonce)) {
+    private void checkToken(String token) {
+        int separator = token.lastIndexOf('-');
+        if (separator < 0 || !token.substring(0, separator).equals(nonce)) {
             crossed = true;
             return;
         }
-        int number = Integer.parseInt(token.substring(dash + 1));
-        if (number < next) {
-            doubled++;
-        } else if (number == next) {
-            next++;
+        int tokenIndex = Integer.parseInt(token.substring(separator + 1));
+        if (tokenIndex < nextTokenIndex) {
+            duplicateTokens++;
+        } else if (tokenIndex == nextTokenIndex) {
+            nextTokenIndex++;
         } else {
             failed = true;
         }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Arrival.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Arrival.java
@@ -3,20 +3,26 @@
 import org.radishpass.load.internal.experiment.Workload;
 
 /**
- * One request of the schedule.
+ * A scheduled request.
  *
- * @param index its place in the schedule
- * @param atNanos when it is sent, since the start
- * @param workload whose it is
- * @param body what is sent
- * @param chat the chat it belongs to, or the number of the order
- * @param promptTokens the tokens of its prompt
- * @param reusableTokens the most of them that a cache that held everything before could serve
+ * @param index the request's position in the schedule, from 0
+ * @param atNanos the time at which the request is due, in nanoseconds since load began
+ * @param workload the workload to which the request belongs
+ * @param body the request body as JSON
+ * @param chatOrOrderId the identifier of the request's chat, or the order number
+ * @param promptTokens the number of tokens in the prompt; 0 for orders
+ * @param maxReusableTokens the number of prompt tokens that a cache of all earlier prompts could serve
  * @since 0.1.0
  */
 public record Arrival(
-        int index, long atNanos, Workload workload, String body, String chat, int promptTokens, int reusableTokens) {
-    /** Returns the word that every token of the answer repeats. */
+        int index,
+        long atNanos,
+        Workload workload,
+        String body,
+        String chatOrOrderId,
+        int promptTokens,
+        int maxReusableTokens) {
+    /** Returns the word that every answer token repeats, so that answers to other requests are recognised. */
     public String nonce() {
         return "n" + index;
     }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Caller.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Caller.java
@@ -16,151 +16,156 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /**
- * Sends requests as callers do: through any router, and through another when one gives no answer.
+ * Sends requests as callers do. Starts with a random router and retries through the next router if a request fails.
  *
  * @since 0.1.0
  */
 final class Caller {
-    private static final String AFFINITY = "X-Radishpass-Affinity";
+    private static final String AFFINITY_HEADER = "X-Radishpass-Affinity";
     private static final int OK = 200;
     private static final int CREATED = 201;
-    private static final int MOST_TRIES = 8;
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final Duration PAUSE = Duration.ofMillis(250);
+    private static final int MAX_ATTEMPTS = 8;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-    private final ConcurrentHashMap<String, String> affinity = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<String, String> affinityTokenByChat = new ConcurrentHashMap<>();
     private final HttpClient client;
     private final List<String> routers;
-    private final boolean asksAgain;
+    private final boolean retriesCutStreams;
     private final Random random;
 
-    Caller(HttpClient client, List<String> routers, boolean asksAgain, long seed) {
-        this.asksAgain = asksAgain;
+    Caller(HttpClient client, List<String> routers, boolean retriesCutStreams, long seed) {
+        this.retriesCutStreams = retriesCutStreams;
         this.client = client;
         this.routers = routers;
         this.random = new Random(seed);
     }
 
-    /** Sends a request and returns what came of it. */
-    Mono<Result> send(Arrival arrival, long dueNanos) {
-        return attempt(arrival, dueNanos, nextStart(), 1, new Tally());
+    /** Sends a request, with retries, and returns the final result. Times count from when the request was due. */
+    Mono<RequestResult> send(Arrival arrival, long dueNanos) {
+        return attempt(arrival, dueNanos, randomRouter(), 1, new AttemptSummary());
     }
 
-    private synchronized int nextStart() {
+    private synchronized int randomRouter() {
         return random.nextInt(routers.size());
     }
 
-    private Mono<Result> attempt(Arrival arrival, long dueNanos, int router, int number, Tally tally) {
+    private Mono<RequestResult> attempt(
+            Arrival arrival, long dueNanos, int router, int attemptNumber, AttemptSummary summary) {
         String address = routers.get(router % routers.size());
-        Mono<Result> sent = arrival.workload().orders()
-                ? order(arrival, dueNanos, address, number)
-                : chat(arrival, dueNanos, address, number);
-        return sent.flatMap(result -> {
-            tally.note(result);
-            if (!again(result) || number >= MOST_TRIES) {
-                return Mono.just(tally.last(result));
+        Mono<RequestResult> attempted = arrival.workload().placesOrders()
+                ? sendOrder(arrival, dueNanos, address, attemptNumber)
+                : sendChat(arrival, dueNanos, address, attemptNumber);
+        return attempted.flatMap(result -> {
+            summary.add(result);
+            if (!shouldRetry(result) || attemptNumber >= MAX_ATTEMPTS) {
+                return Mono.just(summary.finalResult(result));
             }
-            return Mono.delay(PAUSE).flatMap(tick -> attempt(arrival, dueNanos, router + 1, number + 1, tally));
+            return Mono.delay(RETRY_DELAY)
+                    .flatMap(tick -> attempt(arrival, dueNanos, router + 1, attemptNumber + 1, summary));
         });
     }
 
-    private boolean again(Result result) {
-        boolean order = result.arrival().workload().orders();
+    private boolean shouldRetry(RequestResult result) {
+        boolean order = result.arrival().workload().placesOrders();
         return switch (result.outcome()) {
             case LOST -> true;
             case REFUSED -> order || "NOT_READY".equals(result.code()) || "NO_ENDPOINT".equals(result.code());
-            case CUT -> asksAgain;
+            case CUT -> retriesCutStreams;
             case ANSWERED, CROSSED -> false;
         };
     }
 
-    private Mono<Result> chat(Arrival arrival, long dueNanos, String router, int number) {
+    private Mono<RequestResult> sendChat(Arrival arrival, long dueNanos, String router, int attemptNumber) {
         AnswerCheck check = new AnswerCheck(arrival.nonce(), arrival.workload().answerTokens());
-        AtomicLong first = new AtomicLong();
+        AtomicLong firstPartNanos = new AtomicLong();
         AtomicBoolean accepted = new AtomicBoolean();
-        Refused refused = new Refused();
+        Refusal refusal = new Refusal();
         return request(arrival, router + "/v1/chat/completions")
                 .response((response, content) -> {
                     if (response.status().code() != OK) {
                         return content.aggregate()
                                 .asByteArray()
-                                .doOnNext(refused::read)
+                                .doOnNext(refusal::read)
                                 .then();
                     }
                     accepted.set(true);
-                    String token = response.responseHeaders().get(AFFINITY);
+                    String token = response.responseHeaders().get(AFFINITY_HEADER);
                     if (token != null) {
-                        affinity.put(arrival.chat(), token);
+                        affinityTokenByChat.put(arrival.chatOrOrderId(), token);
                     }
-                    if (!arrival.workload().streams()) {
+                    if (!arrival.workload().streamsAnswers()) {
                         return content.aggregate()
                                 .asString(StandardCharsets.UTF_8)
-                                .doOnNext(check::whole)
+                                .doOnNext(check::acceptBody)
                                 .then();
                     }
                     return content.asString(StandardCharsets.UTF_8)
                             .doOnNext(part -> {
-                                check.stream(part);
-                                first.compareAndSet(0, System.nanoTime() - dueNanos);
+                                check.acceptChunk(part);
+                                firstPartNanos.compareAndSet(0, System.nanoTime() - dueNanos);
                             })
                             .then();
                 })
                 .then()
-                .timeout(PATIENCE)
+                .timeout(REQUEST_TIMEOUT)
                 .onErrorComplete()
                 .then(Mono.fromCallable(() -> {
-                    long done = System.nanoTime() - dueNanos;
-                    long firstToken = first.get() == 0 ? done : first.get();
-                    return new Result(
+                    long totalNanos = System.nanoTime() - dueNanos;
+                    long firstTokenNanos = firstPartNanos.get() == 0 ? totalNanos : firstPartNanos.get();
+                    return new RequestResult(
                             arrival,
-                            outcome(check, accepted.get(), refused),
-                            refused.verdict,
-                            refused.code,
-                            number,
-                            firstToken,
-                            done,
-                            check.doubled());
+                            outcome(check, accepted.get(), refusal),
+                            refusal.verdict,
+                            refusal.code,
+                            attemptNumber,
+                            firstTokenNanos,
+                            totalNanos,
+                            check.duplicateTokens());
                 }));
     }
 
-    private static Result.Outcome outcome(AnswerCheck check, boolean accepted, Refused refused) {
-        if (refused.code != null) {
-            return Result.Outcome.REFUSED;
+    private static RequestResult.Outcome outcome(AnswerCheck check, boolean accepted, Refusal refusal) {
+        if (refusal.code != null) {
+            return RequestResult.Outcome.REFUSED;
         }
         if (check.crossed()) {
-            return Result.Outcome.CROSSED;
+            return RequestResult.Outcome.CROSSED;
         }
-        if (check.whole()) {
-            return Result.Outcome.ANSWERED;
+        if (check.complete()) {
+            return RequestResult.Outcome.ANSWERED;
         }
-        return accepted ? Result.Outcome.CUT : Result.Outcome.LOST;
+        return accepted ? RequestResult.Outcome.CUT : RequestResult.Outcome.LOST;
     }
 
-    private Mono<Result> order(Arrival arrival, long dueNanos, String router, int number) {
+    private Mono<RequestResult> sendOrder(Arrival arrival, long dueNanos, String router, int attemptNumber) {
         String address = router + "/services/" + arrival.workload().service() + "/orders";
         return request(arrival, address)
                 .responseSingle((response, content) -> content.asByteArray()
                         .defaultIfEmpty(new byte[0])
-                        .map(body -> placed(arrival, dueNanos, number, response, body)))
-                .timeout(PATIENCE)
-                .onErrorResume(
-                        error -> Mono.just(result(arrival, Result.Outcome.LOST, new Refused(), number, dueNanos)));
+                        .map(body -> orderResult(arrival, dueNanos, attemptNumber, response, body)))
+                .timeout(REQUEST_TIMEOUT)
+                .onErrorResume(error ->
+                        Mono.just(result(arrival, RequestResult.Outcome.LOST, new Refusal(), attemptNumber, dueNanos)));
     }
 
-    private static Result placed(Arrival arrival, long dueNanos, int number, HttpClientResponse response, byte[] body) {
-        Refused refused = new Refused();
+    private static RequestResult orderResult(
+            Arrival arrival, long dueNanos, int attemptNumber, HttpClientResponse response, byte[] body) {
+        Refusal refusal = new Refusal();
         if (response.status().code() != CREATED) {
-            refused.read(body);
-            return result(arrival, Result.Outcome.REFUSED, refused, number, dueNanos);
+            refusal.read(body);
+            return result(arrival, RequestResult.Outcome.REFUSED, refusal, attemptNumber, dueNanos);
         }
-        boolean own = HttpJson.parse(body).path("number").asText().equals(arrival.chat());
-        Result.Outcome outcome = own ? Result.Outcome.ANSWERED : Result.Outcome.CROSSED;
-        return result(arrival, outcome, refused, number, dueNanos);
+        boolean matches = HttpJson.parse(body).path("number").asText().equals(arrival.chatOrOrderId());
+        RequestResult.Outcome outcome = matches ? RequestResult.Outcome.ANSWERED : RequestResult.Outcome.CROSSED;
+        return result(arrival, outcome, refusal, attemptNumber, dueNanos);
     }
 
-    private static Result result(Arrival arrival, Result.Outcome outcome, Refused refused, int number, long dueNanos) {
-        long done = System.nanoTime() - dueNanos;
-        return new Result(arrival, outcome, refused.verdict, refused.code, number, done, done, 0);
+    private static RequestResult result(
+            Arrival arrival, RequestResult.Outcome outcome, Refusal refusal, int attemptNumber, long dueNanos) {
+        long totalNanos = System.nanoTime() - dueNanos;
+        return new RequestResult(
+                arrival, outcome, refusal.verdict, refusal.code, attemptNumber, totalNanos, totalNanos, 0);
     }
 
     private HttpClient.ResponseReceiver<?> request(Arrival arrival, String address) {
@@ -168,13 +173,15 @@
                     String workspace = arrival.workload().workspace();
                     headers.set("Authorization", "Bearer " + workspace + ".demo-key-" + workspace);
                     headers.set("Content-Type", "application/json");
-                    if (arrival.workload().orders()) {
-                        headers.set("Idempotency-Key", arrival.chat());
+                    if (arrival.workload().placesOrders()) {
+                        headers.set("Idempotency-Key", arrival.chatOrOrderId());
                     } else {
-                        headers.set("X-Chat-Id", arrival.chat());
-                        String token = arrival.workload().bringsAffinity() ? affinity.get(arrival.chat()) : null;
+                        headers.set("X-Chat-Id", arrival.chatOrOrderId());
+                        String token = arrival.workload().sendsAffinityToken()
+                                ? affinityTokenByChat.get(arrival.chatOrOrderId())
+                                : null;
                         if (token != null) {
-                            headers.set(AFFINITY, token);
+                            headers.set(AFFINITY_HEADER, token);
                         }
                     }
                 })
@@ -183,8 +190,8 @@
                 .send(ByteBufMono.fromString(Mono.just(arrival.body())));
     }
 
-    /** What a refusal said. */
-    private static final class Refused {
+    /** The code and verdict of a refusal. */
+    private static final class Refusal {
         private @Nullable String code;
         private @Nullable String verdict;
 
@@ -203,33 +210,37 @@
         }
     }
 
-    /** What all tries of one request say together. */
-    private static final class Tally {
+    /** Combines the results of all attempts at one request. */
+    private static final class AttemptSummary {
         private boolean onlyNotRun = true;
-        private @Nullable Result lastRefusal;
+        private @Nullable RequestResult lastRefusal;
 
-        private void note(Result result) {
-            boolean refused = result.outcome() == Result.Outcome.REFUSED;
+        private void add(RequestResult result) {
+            boolean refused = result.outcome() == RequestResult.Outcome.REFUSED;
             onlyNotRun &= refused && "NOT_RUN".equals(result.verdict());
             lastRefusal = refused ? result : lastRefusal;
         }
 
-        /** A caller that was refused and then reached nobody has its refusal, but cannot know that nothing ran. */
-        private Result last(Result result) {
-            boolean open = result.outcome() == Result.Outcome.REFUSED || result.outcome() == Result.Outcome.LOST;
-            Result refusal = lastRefusal;
-            if (!open || onlyNotRun || refusal == null) {
+        /**
+         * Returns the result of the whole request. If the last attempt was refused or lost and any attempt may have run,
+         * the result is the last refusal, with the verdict that the request may have run.
+         */
+        private RequestResult finalResult(RequestResult result) {
+            boolean unanswered =
+                    result.outcome() == RequestResult.Outcome.REFUSED || result.outcome() == RequestResult.Outcome.LOST;
+            RequestResult refusal = lastRefusal;
+            if (!unanswered || onlyNotRun || refusal == null) {
                 return result;
             }
-            return new Result(
+            return new RequestResult(
                     result.arrival(),
-                    Result.Outcome.REFUSED,
+                    RequestResult.Outcome.REFUSED,
                     "MAY_HAVE_RUN",
                     refusal.code(),
-                    result.tries(),
+                    result.attempts(),
                     result.firstTokenNanos(),
-                    result.doneNanos(),
-                    result.doubledTokens());
+                    result.totalNanos(),
+                    result.duplicateTokens());
         }
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/PropagationTimer.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/PropagationTimer.java
@@ -21,20 +21,21 @@
 import org.radishpass.tables.table.HttpTableService;
 
 /**
- * Times how long changes of configuration take until each router has them in force, and checks that none goes back.
+ * Measures the time from writing a configuration change until each router applies the change. Counts how often a router
+ * goes back to an older revision.
  *
  * @since 0.1.0
  */
-public final class Propagation {
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
-    private static final long PAUSE_MILLIS = 150;
-    private static final long POLL_MILLIS = 10;
-    private static final long TAIL_MILLIS = 8_000;
-    private static final long MOST_MILLIS = 60_000;
+public final class PropagationTimer {
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+    private static final long CHANGE_INTERVAL_MILLIS = 150;
+    private static final long POLL_INTERVAL_MILLIS = 10;
+    private static final long FINAL_WAIT_MILLIS = 8_000;
+    private static final long MAX_RECORDED_MILLIS = 60_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final Map<Long, Long> writtenAt = new ConcurrentHashMap<>();
-    private final Histogram millis = new Histogram(MOST_MILLIS, 3);
+    private final Map<Long, Long> writtenAtNanosByRevision = new ConcurrentHashMap<>();
+    private final Histogram delayMillis = new Histogram(MAX_RECORDED_MILLIS, 3);
     private final AtomicBoolean running = new AtomicBoolean(true);
     private final Driver driver;
     private final FleetAddresses fleet;
@@ -42,27 +43,27 @@
     private int reverts;
 
     /**
-     * Creates it.
+     * Creates a timer that writes changes through the platform's table service.
      *
-     * @param driver asks routers
-     * @param fleet where processes answer
-     * @param runtime event loops and clients
+     * @param driver the driver that reads the routers' status
+     * @param fleet the addresses of the processes
+     * @param runtime the event loops and HTTP clients
      */
-    public Propagation(Driver driver, FleetAddresses fleet, HttpRuntime runtime) {
+    public PropagationTimer(Driver driver, FleetAddresses fleet, HttpRuntime runtime) {
         this.driver = driver;
         this.fleet = fleet;
         this.writer = new ConfigurationWriter(
-                new HttpTableService(runtime.client(), fleet.platform(), PATIENCE),
+                new HttpTableService(runtime.client(), fleet.platform(), REQUEST_TIMEOUT),
                 Clock.systemUTC(),
                 () -> UUID.randomUUID().toString());
     }
 
     /**
-     * Writes changes one after another and watches them arrive.
+     * Writes changes one after another while polling every router for its revision.
      *
-     * @param changes how many
-     * @return the distribution, in milliseconds
-     * @throws InterruptedException if the wait is broken off
+     * @param changes the number of changes to write
+     * @return the figures by name: counts, and percentiles of the propagation delay in milliseconds
+     * @throws InterruptedException if the thread is interrupted
      */
     public Map<String, Object> run(int changes) throws InterruptedException {
         List<Thread> watchers = new ArrayList<>();
@@ -73,18 +74,18 @@
             watchers.add(watcher);
         }
         for (int i = 0; i < changes; i++) {
-            write(i);
-            Thread.sleep(PAUSE_MILLIS);
+            writeChange(i);
+            Thread.sleep(CHANGE_INTERVAL_MILLIS);
         }
-        Thread.sleep(TAIL_MILLIS);
+        Thread.sleep(FINAL_WAIT_MILLIS);
         running.set(false);
         for (Thread watcher : watchers) {
-            watcher.join(PATIENCE.toMillis());
+            watcher.join(REQUEST_TIMEOUT.toMillis());
         }
         return figures();
     }
 
-    private void write(int number) {
+    private void writeChange(int number) {
         RecordDocument document = new RecordDocument(
                 SchemaVersion.V2,
                 RecordKind.MODEL,
@@ -92,43 +93,45 @@
                 JsonNodeFactory.instance.objectNode().put("version", Integer.toString(number)),
                 "propagation");
         WriteResult result = writer.apply(List.of(document), "propagation", OptionalLong.empty())
-                .blockOptional(PATIENCE)
+                .blockOptional(REQUEST_TIMEOUT)
                 .orElseThrow();
         if (result instanceof WriteResult.Accepted accepted) {
-            writtenAt.put(accepted.revision(), System.nanoTime());
+            writtenAtNanosByRevision.put(accepted.revision(), System.nanoTime());
         }
     }
 
     private void watch(String router) {
-        long seen = driver.ask(router + "/v1/status").path("revision").asLong();
+        long highest = driver.getJson(router + "/v1/status").path("revision").asLong();
         while (running.get()) {
-            long now = driver.ask(router + "/v1/status").path("revision").asLong();
-            note(seen, now);
-            seen = Math.max(seen, now);
-            java.util.concurrent.locks.LockSupport.parkNanos(POLL_MILLIS * NANOS_PER_MILLI);
+            long current =
+                    driver.getJson(router + "/v1/status").path("revision").asLong();
+            recordRevisions(highest, current);
+            highest = Math.max(highest, current);
+            java.util.concurrent.locks.LockSupport.parkNanos(POLL_INTERVAL_MILLIS * NANOS_PER_MILLI);
         }
     }
 
-    private synchronized void note(long before, long now) {
-        reverts += now < before ? 1 : 0;
-        long at = System.nanoTime();
-        for (long revision = before + 1; revision <= now; revision++) {
-            Long written = writtenAt.get(revision);
-            long age = written == null ? 0 : Math.max(0, (at - written) / NANOS_PER_MILLI);
-            millis.recordValue(Math.min(MOST_MILLIS, age));
+    private synchronized void recordRevisions(long previous, long current) {
+        reverts += current < previous ? 1 : 0;
+        long nowNanos = System.nanoTime();
+        for (long revision = previous + 1; revision <= current; revision++) {
+            Long writtenNanos = writtenAtNanosByRevision.get(revision);
+            long elapsedMillis = writtenNanos == null ? 0 : Math.max(0, (nowNanos - writtenNanos) / NANOS_PER_MILLI);
+            delayMillis.recordValue(Math.min(MAX_RECORDED_MILLIS, elapsedMillis));
         }
     }
 
     private synchronized Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("changes", writtenAt.size());
-        figures.put("arrivals", millis.getTotalCount());
+        figures.put("changes", writtenAtNanosByRevision.size());
+        figures.put("arrivals", delayMillis.getTotalCount());
         figures.put(
-                "expectedArrivals", (long) writtenAt.size() * fleet.routers().size());
-        figures.put("propagationP50Millis", millis.getValueAtPercentile(50));
-        figures.put("propagationP95Millis", millis.getValueAtPercentile(95));
-        figures.put("propagationP99Millis", millis.getValueAtPercentile(99));
-        figures.put("propagationMaxMillis", millis.getMaxValue());
+                "expectedArrivals",
+                (long) writtenAtNanosByRevision.size() * fleet.routers().size());
+        figures.put("propagationP50Millis", delayMillis.getValueAtPercentile(50));
+        figures.put("propagationP95Millis", delayMillis.getValueAtPercentile(95));
+        figures.put("propagationP99Millis", delayMillis.getValueAtPercentile(99));
+        figures.put("propagationMaxMillis", delayMillis.getMaxValue());
         figures.put("reverts", reverts);
         return figures;
     }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/RequestResult.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/RequestResult.java
@@ -3,42 +3,43 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a caller received for one request.
+ * Result of one request, after all attempts.
  *
  * @param arrival the request
- * @param outcome what it was
- * @param verdict the verdict of a refusal
- * @param code the code of a refusal
- * @param tries how often it was sent
- * @param firstTokenNanos from the time it was due to its first token; 0 without one
- * @param doneNanos from the time it was due to its end
- * @param doubledTokens tokens that came twice
+ * @param outcome the kind of result
+ * @param verdict the verdict of a refusal, or null without a refusal
+ * @param code the error code of a refusal, or null without a refusal
+ * @param attempts how often the request was sent
+ * @param firstTokenNanos the time from when the request was due to its first token; equals the total time if no part
+ *     of a stream arrived
+ * @param totalNanos the time from when the request was due to its end
+ * @param duplicateTokens the number of tokens that arrived more than once
  * @since 0.1.0
  */
-public record Result(
+public record RequestResult(
         Arrival arrival,
         Outcome outcome,
         @Nullable String verdict,
         @Nullable String code,
-        int tries,
+        int attempts,
         long firstTokenNanos,
-        long doneNanos,
-        int doubledTokens) {
+        long totalNanos,
+        int duplicateTokens) {
     /**
-     * The kinds of what a caller receives.
+     * The kinds of results.
      *
      * @since 0.1.0
      */
     public enum Outcome {
-        /** The whole answer to its own request. */
+        /** The complete answer to the request. */
         ANSWERED,
         /** A refusal. */
         REFUSED,
-        /** An answer that broke off. */
+        /** An accepted request whose answer is incomplete. */
         CUT,
-        /** Somebody else's answer. */
+        /** An answer to another request. */
         CROSSED,
-        /** Nothing. */
+        /** No response. */
         LOST
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Schedule.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Schedule.java
@@ -15,16 +15,17 @@
 import org.radishpass.runtime.http.HttpJson;
 
 /**
- * All requests of an experiment, worked out beforehand: the same for the same seed, whatever the fleet does.
+ * Generates all requests of an experiment before load begins. The schedule depends only on the experiment and its seed,
+ * not on how the fleet responds.
  *
  * @since 0.1.0
  */
 public final class Schedule {
-    private static final double NANOS = 1_000_000_000;
-    private static final int MOST_TURNS = 6;
-    private static final int WORDS = 50_000;
+    private static final double NANOS_PER_SECOND = 1_000_000_000;
+    private static final int MAX_CHAT_TURNS = 6;
+    private static final int VOCABULARY_SIZE = 50_000;
 
-    private final Set<Long> seen = new HashSet<>();
+    private final Set<Long> seenBlocks = new HashSet<>();
     private final Map<String, Chat> chats = new HashMap<>();
     private final Random random;
 
@@ -33,95 +34,95 @@
     }
 
     /**
-     * Returns the requests in the order of their times.
+     * Returns an experiment's requests, ordered by the time at which they are due.
      *
      * @param experiment the experiment
      */
     public static List<Arrival> of(Experiment experiment) {
         Schedule schedule = new Schedule(experiment.seed());
         double end = experiment.warmupSeconds() + (double) experiment.seconds();
-        List<Timed> times = new ArrayList<>();
+        List<TimedWorkload> timedWorkloads = new ArrayList<>();
         for (Workload workload : experiment.workloads()) {
             double at = 0;
             while (at < end) {
-                at += schedule.exponential(workload.rateAt(at));
+                at += schedule.exponentialInterval(workload.rateAt(at));
                 if (at < end) {
-                    times.add(new Timed(at, workload));
+                    timedWorkloads.add(new TimedWorkload(at, workload));
                 }
             }
         }
-        times.sort(Comparator.comparingDouble(Timed::at));
+        timedWorkloads.sort(Comparator.comparingDouble(TimedWorkload::atSeconds));
         List<Arrival> arrivals = new ArrayList<>();
-        for (Timed timed : times) {
-            arrivals.add(schedule.arrival(arrivals.size(), timed, experiment.seed()));
+        for (TimedWorkload timedWorkload : timedWorkloads) {
+            arrivals.add(schedule.createArrival(arrivals.size(), timedWorkload, experiment.seed()));
         }
         return arrivals;
     }
 
-    private Arrival arrival(int index, Timed timed, long seed) {
-        long atNanos = (long) (timed.at() * NANOS);
-        Workload workload = timed.workload();
-        if (workload.orders()) {
+    private Arrival createArrival(int index, TimedWorkload timedWorkload, long seed) {
+        long atNanos = (long) (timedWorkload.atSeconds() * NANOS_PER_SECOND);
+        Workload workload = timedWorkload.workload();
+        if (workload.placesOrders()) {
             String number = "order-" + seed + '-' + index;
-            String body = json(Map.of("number", number, "item", "item-" + random.nextInt(100)));
+            String body = toJson(Map.of("number", number, "item", "item-" + random.nextInt(100)));
             return new Arrival(index, atNanos, workload, body, number, 0, 0);
         }
-        return chat(index, atNanos, workload);
+        return createChatArrival(index, atNanos, workload);
     }
 
-    private Arrival chat(int index, long atNanos, Workload workload) {
+    private Arrival createChatArrival(int index, long atNanos, Workload workload) {
         int slot = random.nextInt(Math.max(1, workload.chats()));
         String key = workload.workspace() + '/' + slot;
         Chat chat = chats.get(key);
-        if (chat == null || chat.turns >= MOST_TURNS) {
+        if (chat == null || chat.turns >= MAX_CHAT_TURNS) {
             int generation = chat == null ? 0 : chat.generation + 1;
             chat = new Chat(key + '/' + generation, generation);
-            chat.add("system", prefix(workload));
+            chat.add("system", systemPrompt(workload));
             chats.put(key, chat);
         }
         String nonce = "n" + index;
-        chat.add("user", nonce + ' ' + words(random, workload.turnTokens()));
+        chat.add("user", nonce + ' ' + randomWords(random, workload.turnTokens()));
         chat.turns++;
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("model", String.valueOf(workload.model()));
-        body.put("stream", workload.streams());
+        body.put("stream", workload.streamsAnswers());
         body.put("max_tokens", workload.answerTokens());
         body.put("messages", List.copyOf(chat.messages));
-        Arrival arrival = prompt(index, atNanos, workload, chat, json(body));
-        chat.add("assistant", answer(nonce, workload.answerTokens()));
+        Arrival arrival = createPromptArrival(index, atNanos, workload, chat, toJson(body));
+        chat.add("assistant", expectedAnswer(nonce, workload.answerTokens()));
         return arrival;
     }
 
-    private Arrival prompt(int index, long atNanos, Workload workload, Chat chat, String body) {
+    private Arrival createPromptArrival(int index, long atNanos, Workload workload, Chat chat, String body) {
         StringBuilder text = new StringBuilder();
         chat.messages.forEach(message -> text.append(message.get("content")).append(' '));
         List<Long> blocks = PromptBlocks.chain(text.toString());
         int reusable = 0;
         for (Long block : blocks) {
-            if (!seen.contains(block)) {
+            if (!seenBlocks.contains(block)) {
                 break;
             }
             reusable++;
         }
-        seen.addAll(blocks);
+        seenBlocks.addAll(blocks);
         int tokens = (int) text.chars().filter(c -> c == ' ').count();
         return new Arrival(index, atNanos, workload, body, chat.id, tokens, reusable * PromptBlocks.BLOCK_TOKENS);
     }
 
-    private static String prefix(Workload workload) {
-        Random own = new Random(workload.workspace().hashCode());
-        return "system " + words(own, workload.prefixTokens());
+    private static String systemPrompt(Workload workload) {
+        Random workspaceRandom = new Random(workload.workspace().hashCode());
+        return "system " + randomWords(workspaceRandom, workload.prefixTokens());
     }
 
-    private static String words(Random source, int count) {
+    private static String randomWords(Random source, int count) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            text.append('w').append(source.nextInt(WORDS)).append(i + 1 < count ? " " : "");
+            text.append('w').append(source.nextInt(VOCABULARY_SIZE)).append(i + 1 < count ? " " : "");
         }
         return text.toString();
     }
 
-    private static String answer(String nonce, int tokens) {
+    private static String expectedAnswer(String nonce, int tokens) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
             text.append(nonce).append('-').append(i).append(i + 1 < tokens ? " " : "");
@@ -129,15 +130,15 @@
         return text.toString();
     }
 
-    private double exponential(double rate) {
+    private double exponentialInterval(double rate) {
         return -Math.log(1 - random.nextDouble()) / Math.max(rate, 1e-6);
     }
 
-    private static String json(Object value) {
+    private static String toJson(Object value) {
         return new String(HttpJson.bytes(value), java.nio.charset.StandardCharsets.UTF_8);
     }
 
-    private record Timed(double at, Workload workload) {}
+    private record TimedWorkload(double atSeconds, Workload workload) {}
 
     private static final class Chat {
         private final List<Map<String, String>> messages = new ArrayList<>();
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Open-loop load; not API.
+ * Open-loop load generation. Internal; not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/Experiment.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/Experiment.java
@@ -11,20 +11,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an experiment file says.
+ * An experiment, as read from a YAML file.
  *
- * @param deployment the stand-in deployment
- * @param records the directory of records to apply
- * @param seed the seed of all chance
- * @param routersPerDataCentre how many routers each data centre has
- * @param controllersPerDataCentre how many controllers each data centre has
- * @param warmupSeconds how long load runs before figures are taken
- * @param seconds how long figures are taken
- * @param policies the placement policies, each run afresh
- * @param engine how engines behave
- * @param workloads who asks for what
- * @param mayCut whether routers are killed, so that streams break off and are asked for again
- * @param events what happens when
+ * @param deployment the name of the stand-in deployment
+ * @param records the directory of the configuration records to apply
+ * @param seed the seed of the random generators
+ * @param routersPerDataCentre the number of routers in each data centre
+ * @param controllersPerDataCentre the number of controllers in each data centre
+ * @param warmupSeconds how long load runs before the measurement starts, in seconds
+ * @param seconds the duration of the measurement, in seconds
+ * @param policies the placement policies, each measured in a separate run
+ * @param engine the parameters of the stand-in engines
+ * @param workloads the load of each workspace
+ * @param mayCut whether streams may break off, because routers are killed, and are then requested again; false if
+ *     missing
+ * @param events the faults and signals during the run; none if missing
  * @since 0.1.0
  */
 public record Experiment(
@@ -36,49 +37,50 @@
         int warmupSeconds,
         int seconds,
         List<String> policies,
-        EngineShape engine,
+        EngineParameters engine,
         List<Workload> workloads,
         @Nullable Boolean mayCut,
         @Nullable List<TimedEvent> events) {
     private static final ObjectMapper YAML =
             new ObjectMapper(new YAMLFactory()).enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
-    private static final int MOST_ROUTERS = 16;
-    private static final int MOST_SECONDS = 900;
+    private static final int MAX_ROUTERS_PER_DATA_CENTRE = 16;
+    private static final int MAX_TOTAL_SECONDS = 900;
 
     /**
-     * Reads an experiment.
+     * Reads an experiment from a YAML file.
      *
      * @param file the file
-     * @throws IOException if it cannot be read
+     * @throws IOException if the file cannot be read or is not a valid experiment
      */
     public static Experiment read(Path file) throws IOException {
         return YAML.readValue(file.toFile(), Experiment.class);
     }
 
-    /** Returns one line for each thing that is wrong; none when it may run. */
-    public List<String> faults() {
-        List<String> faults = new ArrayList<>();
-        if (routersPerDataCentre < 1 || routersPerDataCentre > MOST_ROUTERS) {
-            faults.add("routersPerDataCentre is " + routersPerDataCentre + "; write 1 to " + MOST_ROUTERS);
+    /** Returns a message for each error in the experiment; empty if the experiment can run. */
+    public List<String> validationErrors() {
+        List<String> errors = new ArrayList<>();
+        if (routersPerDataCentre < 1 || routersPerDataCentre > MAX_ROUTERS_PER_DATA_CENTRE) {
+            errors.add(
+                    "routersPerDataCentre is " + routersPerDataCentre + "; write 1 to " + MAX_ROUTERS_PER_DATA_CENTRE);
         }
-        if (seconds < 1 || seconds + warmupSeconds > MOST_SECONDS) {
-            faults.add("seconds and warmupSeconds are over " + MOST_SECONDS + " together");
+        if (seconds < 1 || seconds + warmupSeconds > MAX_TOTAL_SECONDS) {
+            errors.add("the sum of seconds and warmupSeconds exceeds " + MAX_TOTAL_SECONDS + " seconds");
         }
         if (policies == null || policies.isEmpty()) {
-            faults.add("policies is missing; write at least one");
+            errors.add("policies is missing; write at least one");
         }
         if (engine == null || workloads == null || workloads.isEmpty()) {
-            faults.add("engine or workloads is missing");
+            errors.add("engine or workloads is missing");
         }
-        return faults;
+        return errors;
     }
 
-    /** Tells whether streams may break off, to be asked for again. */
+    /** Returns whether streams may break off and are then requested again. */
     public boolean cutsAllowed() {
         return Boolean.TRUE.equals(mayCut);
     }
 
-    /** Returns what happens when; empty if nothing does. */
+    /** Returns the faults and signals during the run; empty if there are none. */
     public List<TimedEvent> timedEvents() {
         return Objects.requireNonNullElse(events, List.of());
     }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/Workload.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/Workload.java
@@ -3,22 +3,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One workspace's load.
+ * Load that one workspace generates.
  *
- * @param workspace who asks; its key is {@code demo-key-WORKSPACE}
- * @param kind chat or order
- * @param model the model, for chats
- * @param service the service, for orders
- * @param perSecond the arrivals a second
- * @param chats how many chats return
- * @param prefixTokens the tokens of the prompt that all its chats share
- * @param turnTokens the tokens of each turn of the user
- * @param answerTokens the tokens of each answer
- * @param streamed whether answers are streamed; they are if this is left out
- * @param returnsAffinity whether callers bring the affinity token back; they do if this is left out
- * @param surgeFrom when a surge begins, in seconds
- * @param surgeTo when it ends, in seconds
- * @param surgeFactor how many times the arrivals grow
+ * @param workspace the name of the workspace, whose API key is {@code demo-key-WORKSPACE}
+ * @param kind the kind of requests: chat or order
+ * @param model the model name for chats
+ * @param service the service name for orders
+ * @param perSecond the mean number of arrivals per second outside of a surge
+ * @param chats the number of the workspace's concurrent chats
+ * @param prefixTokens the number of tokens in the system prompt that all chats share
+ * @param turnTokens the number of tokens in each user message
+ * @param answerTokens the number of tokens in each answer
+ * @param streamed whether answers are streamed; true if missing
+ * @param returnsAffinity whether callers send back the affinity token of the chat's last answer; true if missing
+ * @param surgeFrom the start of the surge, in seconds since load began
+ * @param surgeTo the end of the surge, in seconds since load began
+ * @param surgeFactor the factor by which the arrival rate grows during the surge; 0 without a surge
  * @since 0.1.0
  */
 public record Workload(
@@ -36,25 +36,25 @@
         double surgeFrom,
         double surgeTo,
         double surgeFactor) {
-    /** Tells whether this places orders. */
-    public boolean orders() {
+    /** Returns whether the requests are orders, not chats. */
+    public boolean placesOrders() {
         return "order".equals(kind);
     }
 
-    /** Tells whether answers are streamed. */
-    public boolean streams() {
+    /** Returns whether answers are streamed. */
+    public boolean streamsAnswers() {
         return streamed == null || streamed;
     }
 
-    /** Tells whether callers bring the affinity token back. */
-    public boolean bringsAffinity() {
+    /** Returns whether callers send back the affinity token of the chat's last answer. */
+    public boolean sendsAffinityToken() {
         return returnsAffinity == null || returnsAffinity;
     }
 
     /**
-     * Returns the arrivals a second at a time.
+     * Returns the mean number of arrivals per second at a given time.
      *
-     * @param second seconds since the start
+     * @param second the time, in seconds since load began
      */
     public double rateAt(double second) {
         boolean surging = surgeFactor > 0 && second >= surgeFrom && second < surgeTo;
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Experiment files; not API.
+ * Experiment files. Internal; not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/plan/ProcessPlan.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/plan/ProcessPlan.java
@@ -7,12 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.radishpass.load.internal.experiment.EngineShape;
+import org.radishpass.load.internal.experiment.EngineParameters;
 import org.radishpass.load.internal.experiment.Experiment;
 import org.radishpass.runtime.http.HttpJson;
 
 /**
- * The command lines of the processes that an experiment needs, for the script that starts them.
+ * Builds the command lines of an experiment's processes, for the script that starts them.
  *
  * @since 0.1.0
  */
@@ -22,13 +22,13 @@
     }
 
     /**
-     * Returns the arguments of the stand-ins.
+     * Returns the command-line arguments of the stand-ins.
      *
      * @param experiment the experiment
-     * @param runDirectory where processes write their ports
+     * @param runDirectory the directory in which processes write their ports files
      */
     public static String standIn(Experiment experiment, Path runDirectory) {
-        EngineShape engine = experiment.engine();
+        EngineParameters engine = experiment.engine();
         return String.join(
                 " ",
                 List.of(
@@ -43,25 +43,25 @@
     }
 
     /**
-     * Returns a line for each router and controller: its name, its program and its arguments.
+     * Returns a line for each router and controller with the process name, the program and the arguments.
      *
      * @param experiment the experiment
-     * @param runDirectory where the stand-ins wrote their ports
-     * @throws IOException if the stand-ins' ports cannot be read
+     * @param runDirectory the directory in which the stand-ins wrote their ports file
+     * @throws IOException if the stand-ins' ports file cannot be read
      */
     public static List<String> routersAndControllers(Experiment experiment, Path runDirectory) throws IOException {
         JsonNode standIn = HttpJson.parse(Files.readAllBytes(runDirectory.resolve("standin.json")));
         List<String> lines = new ArrayList<>();
-        for (Map.Entry<String, JsonNode> place : standIn.path("platforms").properties()) {
-            String common = " --data-centre " + place.getKey() + " --platform "
-                    + place.getValue().asText();
+        for (Map.Entry<String, JsonNode> dataCentre : standIn.path("platforms").properties()) {
+            String common = " --data-centre " + dataCentre.getKey() + " --platform "
+                    + dataCentre.getValue().asText();
             for (int i = 1; i <= experiment.routersPerDataCentre(); i++) {
-                String name = "router-" + place.getKey() + '-' + i;
+                String name = "router-" + dataCentre.getKey() + '-' + i;
                 lines.add(name + " radishpass-router --id " + name + common + " --balancer-seconds 1 --ports-file "
                         + runDirectory.resolve(name + ".vm.json"));
             }
             for (int i = 1; i <= experiment.controllersPerDataCentre(); i++) {
-                String name = "controller-" + place.getKey() + '-' + i;
+                String name = "controller-" + dataCentre.getKey() + '-' + i;
                 lines.add(name + " radishpass-controller --id " + name + common + " --ports-file "
                         + runDirectory.resolve(name + ".controller.json"));
             }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/plan/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/plan/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The processes that an experiment needs; not API.
+ * The processes that an experiment needs. Internal; not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/report/Figures.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/report/Figures.java
@@ -8,74 +8,77 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.HdrHistogram.Histogram;
-import org.radishpass.load.internal.drive.Result;
+import org.radishpass.load.internal.drive.RequestResult;
 
 /**
- * Works out the figures of a run from what callers received and what the stand-ins saw run.
+ * Calculates the figures of a run from the callers' results and the stand-ins' audit.
  *
  * @since 0.1.0
  */
 public final class Figures {
-    private static final double LEAST_MEAN = 1;
-    private static final long MOST_MICROS = 120_000_000;
+    private static final double MIN_MEAN_LOAD = 1;
+    private static final long MAX_RECORDED_MICROS = 120_000_000;
 
     private Figures() {
         // static methods only
     }
 
     /**
-     * Counts what went wrong, by the audit.
+     * Counts lost, duplicated, mixed-up and cut requests, and refused orders that ran despite the verdict NOT_RUN.
      *
-     * @param results what callers received
-     * @param audit what the stand-ins saw run
+     * @param results the callers' results
+     * @param audit the stand-ins' audit
      */
-    public static Map<String, Object> audit(List<Result> results, JsonNode audit) {
+    public static Map<String, Object> audit(List<RequestResult> results, JsonNode audit) {
         JsonNode runs = audit.path("orders");
         Map<String, Object> counts = new LinkedHashMap<>();
         counts.put(
-                "lost", count(results, result -> result.outcome() == Result.Outcome.LOST || unfulfilled(result, runs)));
-        counts.put("doubled", count(results, result -> result.doubledTokens() > 0 || runs(result, runs) > 1));
-        counts.put("crossed", count(results, result -> result.outcome() == Result.Outcome.CROSSED));
-        counts.put("cut", count(results, result -> result.outcome() == Result.Outcome.CUT));
-        counts.put("falseNotRun", count(results, result -> falselyNotRun(result, runs)));
+                "lost",
+                count(
+                        results,
+                        result -> result.outcome() == RequestResult.Outcome.LOST || answeredWithoutRun(result, runs)));
+        counts.put("doubled", count(results, result -> result.duplicateTokens() > 0 || orderRuns(result, runs) > 1));
+        counts.put("crossed", count(results, result -> result.outcome() == RequestResult.Outcome.CROSSED));
+        counts.put("cut", count(results, result -> result.outcome() == RequestResult.Outcome.CUT));
+        counts.put("falseNotRun", count(results, result -> ranDespiteNotRun(result, runs)));
         return counts;
     }
 
-    private static int count(List<Result> results, Predicate<Result> wanted) {
+    private static int count(List<RequestResult> results, Predicate<RequestResult> wanted) {
         return (int) results.stream().filter(wanted).count();
     }
 
-    private static int runs(Result result, JsonNode runs) {
-        return result.arrival().workload().orders()
-                ? runs.path(result.arrival().chat()).asInt()
+    private static int orderRuns(RequestResult result, JsonNode runs) {
+        return result.arrival().workload().placesOrders()
+                ? runs.path(result.arrival().chatOrOrderId()).asInt()
                 : 0;
     }
 
-    private static boolean unfulfilled(Result result, JsonNode runs) {
-        boolean answered = result.outcome() == Result.Outcome.ANSWERED;
-        return answered && result.arrival().workload().orders() && runs(result, runs) == 0;
+    private static boolean answeredWithoutRun(RequestResult result, JsonNode runs) {
+        boolean answered = result.outcome() == RequestResult.Outcome.ANSWERED;
+        return answered && result.arrival().workload().placesOrders() && orderRuns(result, runs) == 0;
     }
 
-    private static boolean falselyNotRun(Result result, JsonNode runs) {
-        boolean notRun = result.outcome() == Result.Outcome.REFUSED && "NOT_RUN".equals(result.verdict());
-        return notRun && runs(result, runs) > 0;
+    private static boolean ranDespiteNotRun(RequestResult result, JsonNode runs) {
+        boolean notRun = result.outcome() == RequestResult.Outcome.REFUSED && "NOT_RUN".equals(result.verdict());
+        return notRun && orderRuns(result, runs) > 0;
     }
 
     /**
-     * Works out cache reuse: the share of prompt tokens that came from a cache, and the best possible.
+     * Calculates cache reuse: the share of prompt tokens that were cached, and the share with a perfect cache.
      *
-     * @param before the audit at the start of the figures
-     * @param after the audit at the end
-     * @param results what callers received
+     * @param before the audit at the start of the measurement
+     * @param after the audit at the end of the measurement
+     * @param results the callers' results
      */
-    public static Map<String, Object> reuse(JsonNode before, JsonNode after, List<Result> results) {
-        long prompt = sum(after, "promptTokens") - sum(before, "promptTokens");
-        long cached = sum(after, "cachedTokens") - sum(before, "cachedTokens");
+    public static Map<String, Object> reuse(JsonNode before, JsonNode after, List<RequestResult> results) {
+        long prompt = sumOverEngines(after, "promptTokens") - sumOverEngines(before, "promptTokens");
+        long cached = sumOverEngines(after, "cachedTokens") - sumOverEngines(before, "cachedTokens");
         long wanted = 0;
         long reusable = 0;
-        for (Result result : results) {
+        for (RequestResult result : results) {
             wanted += result.arrival().promptTokens();
-            reusable += result.arrival().reusableTokens();
+            reusable += result.arrival().maxReusableTokens();
         }
         double reuse = ratio(cached, prompt);
         double perfect = ratio(reusable, wanted);
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Works out skew from samples of the engines' own load.
+     * Calculates load skew from samples of the engines' true load. Skips samples with a mean load below 1.
      *
-     * @param samples the load of each serving engine, sample by sample
-     * @param bound the multiple of the mean that is allowed
+     * @param samples the samples, each with the load of every serving engine
+     * @param bound the allowed multiple of the mean load
      */
     public static Map<String, Object> skew(JsonNode samples, double bound) {
         List<Double> peaks = new ArrayList<>();
@@ -104,7 +107,7 @@
                 peak = Math.max(peak, load.asDouble());
             }
             double mean = sample.isEmpty() ? 0 : sum / sample.size();
-            if (mean < LEAST_MEAN) {
+            if (mean < MIN_MEAN_LOAD) {
                 continue;
             }
             peaks.add(peak / mean);
@@ -121,23 +124,24 @@
     }
 
     /**
-     * Works out times to the first token by workspace.
+     * Calculates percentiles of the time to the first token, in total and by workspace.
      *
-     * @param results what callers received
+     * @param results the callers' results
      */
-    public static Map<String, Object> times(List<Result> results) {
+    public static Map<String, Object> firstTokenTimes(List<RequestResult> results) {
         Map<String, Histogram> byWorkspace = new LinkedHashMap<>();
-        Histogram all = new Histogram(MOST_MICROS, 3);
-        for (Result result : results) {
-            if (result.outcome() != Result.Outcome.ANSWERED) {
+        Histogram all = new Histogram(MAX_RECORDED_MICROS, 3);
+        for (RequestResult result : results) {
+            if (result.outcome() != RequestResult.Outcome.ANSWERED) {
                 continue;
             }
-            long micros = Math.min(MOST_MICROS, result.firstTokenNanos() / 1_000);
+            long micros = Math.min(MAX_RECORDED_MICROS, result.firstTokenNanos() / 1_000);
             byWorkspace
-                    .computeIfAbsent(result.arrival().workload().workspace(), name -> new Histogram(MOST_MICROS, 3))
+                    .computeIfAbsent(
+                            result.arrival().workload().workspace(), name -> new Histogram(MAX_RECORDED_MICROS, 3))
                     .recordValue(micros);
-            if (!result.arrival().workload().orders()
-                    && result.arrival().workload().streams()) {
+            if (!result.arrival().workload().placesOrders()
+                    && result.arrival().workload().streamsAnswers()) {
                 all.recordValue(micros);
             }
         }
@@ -158,16 +162,16 @@
     /**
      * Counts requests, answers and refusals.
      *
-     * @param results what callers received
-     * @param seconds how long load ran
+     * @param results the callers' results
+     * @param seconds how long load ran, in seconds
      */
-    public static Map<String, Object> counts(List<Result> results, double seconds) {
+    public static Map<String, Object> counts(List<RequestResult> results, double seconds) {
         long answered = results.stream()
-                .filter(result -> result.outcome() == Result.Outcome.ANSWERED)
+                .filter(result -> result.outcome() == RequestResult.Outcome.ANSWERED)
                 .count();
         Map<String, Integer> refusals = new LinkedHashMap<>();
         results.stream()
-                .filter(result -> result.outcome() == Result.Outcome.REFUSED)
+                .filter(result -> result.outcome() == RequestResult.Outcome.REFUSED)
                 .forEach(result -> refusals.merge(result.code() + "/" + result.verdict(), 1, Integer::sum));
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("requests", results.size());
@@ -180,7 +184,7 @@
         return figures;
     }
 
-    private static long sum(JsonNode audit, String count) {
+    private static long sumOverEngines(JsonNode audit, String count) {
         long sum = 0;
         for (JsonNode engine : audit.path("engines")) {
             sum += engine.path(count).asLong();
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/report/Measurement.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/report/Measurement.java
@@ -11,31 +11,31 @@
 import org.radishpass.runtime.http.HttpRuntime;
 
 /**
- * What the stand-ins and the routers counted up to a moment.
+ * Counters and samples of the stand-ins and the routers at one point in time.
  *
- * @param audit what the stand-ins saw run
- * @param samples the load of each serving engine, sample by sample
- * @param metrics what the routers counted
+ * @param audit the stand-ins' audit: counts of the requests and orders that ran
+ * @param samples the samples, each with the load of every serving engine
+ * @param metrics the metrics of all routers together
  * @since 0.1.0
  */
 public record Measurement(JsonNode audit, JsonNode samples, RouterMetrics metrics) {
-    /** A reading before anything was counted. */
+    /** A measurement without any counts or samples. */
     public static final Measurement EMPTY =
             new Measurement(MissingNode.getInstance(), MissingNode.getInstance(), new RouterMetrics(Map.of(), 0, 0, 0));
 
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
     /**
-     * Takes a reading.
+     * Reads the current counters and samples. A router that does not respond counts as 0.
      *
-     * @param driver asks the stand-ins
-     * @param fleet where processes answer
-     * @param runtime event loops and clients
+     * @param driver the driver that reads from the stand-ins
+     * @param fleet the addresses of the processes
+     * @param runtime the event loops and HTTP clients
      */
     public static Measurement take(Driver driver, FleetAddresses fleet, HttpRuntime runtime) {
         return new Measurement(
-                driver.ask(fleet.faults() + "/audit"),
-                driver.ask(fleet.faults() + "/load").path("samples"),
+                driver.getJson(fleet.faultServer() + "/audit"),
+                driver.getJson(fleet.faultServer() + "/load").path("samples"),
                 metrics(fleet, runtime));
     }
 
@@ -47,11 +47,11 @@
                         .responseContent()
                         .aggregate()
                         .asString(StandardCharsets.UTF_8)
-                        .timeout(PATIENCE)
+                        .timeout(REQUEST_TIMEOUT)
                         .onErrorReturn("")
                         .blockOptional()
                         .orElse(""))
                 .toList();
-        return RouterMetrics.of(pages);
+        return RouterMetrics.parse(pages);
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/report/RouterMetrics.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/report/RouterMetrics.java
@@ -9,15 +9,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the figures that routers publish.
+ * Metrics of all routers together.
  *
- * @param bytes the bytes of control traffic, by kind, of all routers together
- * @param attempts the attempts at endpoints
- * @param controlCpuSeconds the processor time of control threads
- * @param heapBytes the heap in use
+ * @param controlBytes the bytes of control traffic by kind
+ * @param attempts the number of attempts at endpoints
+ * @param controlCpuSeconds the CPU time of control threads, in seconds
+ * @param heapBytes the heap in use, in bytes
  * @since 0.1.0
  */
-public record RouterMetrics(Map<String, Double> bytes, double attempts, double controlCpuSeconds, double heapBytes) {
+public record RouterMetrics(
+        Map<String, Double> controlBytes, double attempts, double controlCpuSeconds, double heapBytes) {
     private static final Pattern BYTES =
             Pattern.compile("radishpass_control_bytes_total\\{.*kind=\"([^\"]+)\".*\\} ([0-9.E+]+)");
     private static final Pattern ATTEMPTS = Pattern.compile("radishpass_attempts_total\\{.*\\} ([0-9.E+]+)");
@@ -25,11 +26,11 @@
     private static final Pattern HEAP = Pattern.compile("radishpass_heap_used_bytes ([0-9.E+]+)");
 
     /**
-     * Adds up the pages of several routers.
+     * Parses the metrics of several routers and adds them up.
      *
-     * @param pages the pages in Prometheus's format
+     * @param pages each router's metrics in the Prometheus text format
      */
-    public static RouterMetrics of(List<String> pages) {
+    public static RouterMetrics parse(List<String> pages) {
         Map<String, Double> bytes = new TreeMap<>();
         for (String page : pages) {
             for (String line : page.split("\n", -1)) {
@@ -52,16 +53,16 @@
     }
 
     /**
-     * Returns the bytes a second for each router, by kind, since an earlier reading.
+     * Returns the mean control bytes per second and router, by kind, since earlier metrics.
      *
-     * @param before the earlier reading
-     * @param seconds the time between
+     * @param before the earlier metrics
+     * @param seconds the time since the earlier metrics, in seconds
      * @param routers the number of routers
      */
     public Map<String, Double> bytesPerSecond(RouterMetrics before, double seconds, int routers) {
         Map<String, Double> rates = new LinkedHashMap<>();
-        bytes.forEach((kind, count) ->
-                rates.put(kind, (count - before.bytes().getOrDefault(kind, 0.0)) / seconds / routers));
+        controlBytes.forEach((kind, count) ->
+                rates.put(kind, (count - before.controlBytes().getOrDefault(kind, 0.0)) / seconds / routers));
         return rates;
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/report/RunReport.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/report/RunReport.java
@@ -12,67 +12,69 @@
 import java.util.TreeMap;
 
 /**
- * The report of an experiment, with a part for each policy.
+ * Writes the report of an experiment, which has a section for each policy.
  *
  * @since 0.1.0
  */
 public final class RunReport {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final List<String> MUST_BE_ZERO = List.of("lost", "doubled", "crossed", "cut", "falseNotRun");
+    private static final List<String> ERROR_COUNTS = List.of("lost", "doubled", "crossed", "cut", "falseNotRun");
 
     private RunReport() {
         // static methods only
     }
 
     /**
-     * Writes a policy's figures into a report, keeping those of other policies. The figures also stand at the top.
+     * Writes a policy's figures into a report and keeps the figures of other policies. The top level of the report repeats
+     * the figures of the policy that was written last.
      *
-     * @param file the report
-     * @param policy the policy
-     * @param figures its figures
+     * @param file the report file
+     * @param policy the name of the policy
+     * @param figures the policy's figures by name
      * @throws IOException if the file cannot be read or written
      */
     public static void add(Path file, String policy, Map<String, Object> figures) throws IOException {
-        ObjectNode report = Files.exists(file) && JSON.readTree(file.toFile()) instanceof ObjectNode old
-                ? old
+        ObjectNode report = Files.exists(file) && JSON.readTree(file.toFile()) instanceof ObjectNode existing
+                ? existing
                 : JSON.createObjectNode();
-        ObjectNode own = JSON.valueToTree(figures);
-        report.setAll(own.deepCopy());
+        ObjectNode policyFigures = JSON.valueToTree(figures);
+        report.setAll(policyFigures.deepCopy());
         ObjectNode policies = report.path("policies") instanceof ObjectNode found ? found : JSON.createObjectNode();
-        policies.set(policy, own);
+        policies.set(policy, policyFigures);
         report.set("policies", policies);
         JSON.writeValue(file.toFile(), report);
     }
 
     /**
-     * Tells whether the counts that must be 0 are.
+     * Returns whether all error counts are 0.
      *
      * @param figures the figures
-     * @param cutsAllowed whether streams may have broken off
+     * @param cutsAllowed whether the count of cut streams may be above 0
      */
-    public static boolean sound(Map<String, Object> figures, boolean cutsAllowed) {
-        return MUST_BE_ZERO.stream()
+    public static boolean passes(Map<String, Object> figures, boolean cutsAllowed) {
+        return ERROR_COUNTS.stream()
                 .filter(name -> !cutsAllowed || !"cut".equals(name))
                 .allMatch(name -> Integer.valueOf(0).equals(figures.get(name)));
     }
 
     /**
-     * Returns the figures for people, a line each.
+     * Returns the figures as readable text, one line each. Nested figures are left out.
      *
      * @param figures the figures
      */
-    public static List<String> lines(Map<String, Object> figures) {
+    public static List<String> summaryLines(Map<String, Object> figures) {
         JsonNode tree = JSON.valueToTree(new TreeMap<>(figures));
         List<String> lines = new java.util.ArrayList<>();
         tree.properties().forEach(entry -> {
             if (!entry.getValue().isObject()) {
-                lines.add(String.format(java.util.Locale.ROOT, "%-32s %s", entry.getKey(), shown(entry.getValue())));
+                lines.add(String.format(
+                        java.util.Locale.ROOT, "%-32s %s", entry.getKey(), formatValue(entry.getValue())));
             }
         });
         return lines;
     }
 
-    private static String shown(JsonNode value) {
+    private static String formatValue(JsonNode value) {
         return value.isDouble() ? String.format(java.util.Locale.ROOT, "%.3f", value.doubleValue()) : value.asText();
     }
 }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/report/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Audit and figures; not API.
+ * Audit and figures of a run. Internal; not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/MicroBenchmark.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/MicroBenchmark.java
@@ -3,28 +3,28 @@
 import java.util.Arrays;
 
 /**
- * Times a small piece of work by repeating it, and weighs what it keeps.
+ * Measures the mean time of a short operation, and the heap that the result of an operation retains.
  *
  * @since 0.1.0
  */
-final class Stopwatch {
+final class MicroBenchmark {
     private static final int ROUNDS = 7;
-    private static final long ROUND_NANOS = 120_000_000L;
+    private static final long MIN_ROUND_NANOS = 120_000_000L;
     private static final double NANOS_PER_MICRO = 1_000;
 
-    private Stopwatch() {
+    private MicroBenchmark() {
         // static methods only
     }
 
-    /** Returns the median time of one run, in microseconds. */
-    static double micros(Runnable work) {
+    /** Returns the median over all rounds of an operation's mean time, in microseconds. */
+    static double medianMicros(Runnable operation) {
         double[] rounds = new double[ROUNDS];
         for (int round = 0; round < ROUNDS; round++) {
             long start = System.nanoTime();
             long end = start;
             int runs = 0;
-            while (end - start < ROUND_NANOS) {
-                work.run();
+            while (end - start < MIN_ROUND_NANOS) {
+                operation.run();
                 runs++;
                 end = System.nanoTime();
             }
@@ -34,14 +34,14 @@
         return rounds[ROUNDS / 2];
     }
 
-    /** Returns the heap that is kept by what the work returns, in bytes. */
-    static double heapBytes(java.util.function.Supplier<Object> work) {
+    /** Returns the heap that an operation's result retains, in bytes. */
+    static double retainedHeapBytes(java.util.function.Supplier<Object> operation) {
         long before = usedHeap();
-        Object kept = work.get();
+        Object retained = operation.get();
         try {
             return Math.max(0, usedHeap() - before);
         } finally {
-            java.lang.ref.Reference.reachabilityFence(kept);
+            java.lang.ref.Reference.reachabilityFence(retained);
         }
     }
 
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/Series.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/Series.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One quantity measured at several sizes.
+ * Measurements of one quantity at several sizes.
  *
- * @param name what was measured
- * @param unit its unit
- * @param variable what the size counts
- * @param target the size that the project aims at
+ * @param name the quantity that was measured
+ * @param unit the unit of the quantity
+ * @param variable the thing whose number is the size, such as endpoints
+ * @param target the size for which the system is designed
  * @param points the measurements
  * @since 0.1.0
  */
@@ -19,10 +19,10 @@
     }
 
     /**
-     * A measurement.
+     * A measurement at one size.
      *
      * @param size the size
-     * @param value what was measured there
+     * @param value the measured value
      * @since 0.1.0
      */
     public record Point(double size, double value) {}
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeBench.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeBench.java
@@ -39,98 +39,115 @@
 import org.radishpass.records.StoredRecord;
 
 /**
- * Measures the pieces of control and placement at several sizes.
+ * Measures the cost of control and placement operations at several sizes.
  *
  * @since 0.1.0
  */
 public final class SlopeBench {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
-    private static final List<DataCentre> PLACES = places();
-    private static final double[] ENDPOINTS = {12, 100, 500, 2_100};
-    private static final double[] ROUTERS = {8, 64, 185, 370};
-    private static final double[] WORKSPACES = {10, 100, 500, 1_500};
-    private static final double[] OWNED = {1, 2, 6, 24};
-    private static final int MOST_TRIES = 16;
+    private static final List<DataCentre> DATA_CENTRES = dataCentres();
+    private static final double[] ENDPOINT_COUNTS = {12, 100, 500, 2_100};
+    private static final double[] ROUTER_COUNTS = {8, 64, 185, 370};
+    private static final double[] WORKSPACE_COUNTS = {10, 100, 500, 1_500};
+    private static final double[] OWNED_ENDPOINT_COUNTS = {1, 2, 6, 24};
+    private static final int MAX_ATTEMPTS = 16;
     private static final String POOL = "model-1@1";
 
     private SlopeBench() {
         // static methods only
     }
 
-    /** Measures everything. */
-    public static List<Series> run() {
+    /** Measures all quantities that depend on a size. */
+    public static List<Series> measureSeries() {
         List<Series> all = new ArrayList<>();
-        all.add(series("placement decision", "us", "endpoints in the pool", 2_100, ENDPOINTS, SlopeBench::placement));
-        all.add(series("picture of the fleet", "us", "endpoints", 2_100, ENDPOINTS, SlopeBench::picture));
-        all.add(series("owners of all endpoints", "us", "routers", 370, ROUTERS, SlopeBench::owners));
-        all.add(series("fleet directory", "heap bytes", "endpoints", 2_100, ENDPOINTS, SlopeBench::directoryHeap));
-        all.add(series("slot taken and freed", "us", "endpoints owned", 6, OWNED, SlopeBench::slot));
-        all.add(series("configuration", "heap bytes", "workspaces", 1_500, WORKSPACES, SlopeBench::configurationHeap));
-        all.add(series("one change applied", "us", "workspaces", 1_500, WORKSPACES, SlopeBench::change));
+        all.add(measureAtSizes(
+                "placement decision",
+                "us",
+                "endpoints in the pool",
+                2_100,
+                ENDPOINT_COUNTS,
+                SlopeBench::placementMicros));
+        all.add(measureAtSizes(
+                "picture of the fleet", "us", "endpoints", 2_100, ENDPOINT_COUNTS, SlopeBench::directoryViewMicros));
+        all.add(measureAtSizes(
+                "owners of all endpoints", "us", "routers", 370, ROUTER_COUNTS, SlopeBench::ownerSelectionMicros));
+        all.add(measureAtSizes(
+                "fleet directory", "heap bytes", "endpoints", 2_100, ENDPOINT_COUNTS, SlopeBench::directoryHeapBytes));
+        all.add(measureAtSizes(
+                "slot taken and freed", "us", "endpoints owned", 6, OWNED_ENDPOINT_COUNTS, SlopeBench::slotMicros));
+        all.add(measureAtSizes(
+                "configuration",
+                "heap bytes",
+                "workspaces",
+                1_500,
+                WORKSPACE_COUNTS,
+                SlopeBench::configurationHeapBytes));
+        all.add(measureAtSizes(
+                "one change applied", "us", "workspaces", 1_500, WORKSPACE_COUNTS, SlopeBench::changeMicros));
         return all;
     }
 
-    /** Measures the messages between routers: their bytes, and the time to write and read one. */
-    public static List<MessageCost> messages() {
+    /** Measures the size of each kind of message between routers, and the time to encode and decode a message. */
+    public static List<MessageCost> measureMessages() {
         return List.of(
-                cost(new PeerMessage.SlotWanted(
+                measureMessage(new PeerMessage.SlotWanted(
                         123_456, "engine-liguanea-17", POOL, PriorityClass.INTERACTIVE, 1.25f, 60_000)),
-                cost(new PeerMessage.SlotReply(org.radishpass.core.load.SlotAnswer.GRANTED, 57, 71)),
-                cost(new PeerMessage.SlotFreed(123_456, "engine-liguanea-17")),
-                cost(new PeerMessage.PoolParts(List.of(new PeerMessage.PoolSum(POOL, 57, 1)))),
-                cost(new PeerMessage.PoolTotals(List.of(new PeerMessage.PoolSum(POOL, 5_700, 100)))),
-                cost(new PeerMessage.EndpointReports(List.of(new PeerMessage.EndpointReport(
+                measureMessage(new PeerMessage.SlotReply(org.radishpass.core.load.SlotAnswer.GRANTED, 57, 71)),
+                measureMessage(new PeerMessage.SlotFreed(123_456, "engine-liguanea-17")),
+                measureMessage(new PeerMessage.PoolParts(List.of(new PeerMessage.PoolSum(POOL, 57, 1)))),
+                measureMessage(new PeerMessage.PoolTotals(List.of(new PeerMessage.PoolSum(POOL, 5_700, 100)))),
+                measureMessage(new PeerMessage.EndpointReports(List.of(new PeerMessage.EndpointReport(
                         "engine-liguanea-17", "mh3k2a1b", 99, EndpointState.READY, List.of(POOL), 57, 64)))),
-                cost(new PeerMessage.Head(123_456)),
-                cost(new PeerMessage.Changes(123_456, List.of(workspaceChange(123_456, 7)), List.of())));
+                measureMessage(new PeerMessage.Head(123_456)),
+                measureMessage(new PeerMessage.Changes(123_456, List.of(workspaceChange(123_456, 7)), List.of())));
     }
 
-    private static MessageCost cost(PeerMessage message) {
+    private static MessageCost measureMessage(PeerMessage message) {
         Envelope envelope = new Envelope(123_456, message);
         byte[] bytes = encode(envelope);
-        double encode = Stopwatch.micros(() -> encode(envelope));
-        double decode = Stopwatch.micros(() -> decode(bytes));
-        return new MessageCost(message.kind(), bytes.length + Integer.BYTES, encode, decode);
+        double encodeMicros = MicroBenchmark.medianMicros(() -> encode(envelope));
+        double decodeMicros = MicroBenchmark.medianMicros(() -> decode(bytes));
+        return new MessageCost(message.kind(), bytes.length + Integer.BYTES, encodeMicros, decodeMicros);
     }
 
-    private static Series series(
-            String name, String unit, String variable, double target, double[] sizes, DoubleUnaryOperator measure) {
+    private static Series measureAtSizes(
+            String name, String unit, String variable, double target, double[] sizes, DoubleUnaryOperator measurement) {
         List<Series.Point> points = new ArrayList<>();
         for (double size : sizes) {
-            points.add(new Series.Point(size, measure.applyAsDouble(size)));
+            points.add(new Series.Point(size, measurement.applyAsDouble(size)));
         }
         return new Series(name, unit, variable, target, points);
     }
 
-    private static double placement(double size) {
+    private static double placementMicros(double size) {
         List<Endpoint> endpoints = EndpointList.of(endpoints((int) size));
         AtomicLong chat = new AtomicLong();
-        return Stopwatch.micros(
-                () -> Ranking.of(endpoints, "workspace", Long.toString(chat.incrementAndGet()), 0, MOST_TRIES));
+        return MicroBenchmark.medianMicros(
+                () -> Ranking.of(endpoints, "workspace", Long.toString(chat.incrementAndGet()), 0, MAX_ATTEMPTS));
     }
 
-    private static double picture(double size) {
+    private static double directoryViewMicros(double size) {
         FleetDirectory directory = directory((int) size);
-        return Stopwatch.micros(directory::view);
+        return MicroBenchmark.medianMicros(directory::view);
     }
 
-    private static double owners(double size) {
+    private static double ownerSelectionMicros(double size) {
         FleetView fleet = FleetView.of(vms((int) size), endpoints(2_100));
-        return Stopwatch.micros(() -> OwnerSelection.ofAll(fleet.endpoints(), fleet.vms()));
+        return MicroBenchmark.medianMicros(() -> OwnerSelection.ofAll(fleet.endpoints(), fleet.vms()));
     }
 
-    private static double directoryHeap(double size) {
-        return Stopwatch.heapBytes(() -> {
+    private static double directoryHeapBytes(double size) {
+        return MicroBenchmark.retainedHeapBytes(() -> {
             FleetDirectory directory = directory((int) size);
             return List.of(directory, directory.view());
         });
     }
 
-    private static double slot(double size) {
+    private static double slotMicros(double size) {
         SlotBook book = new SlotBook();
         book.own(endpoints((int) size));
         AtomicLong number = new AtomicLong();
-        return Stopwatch.micros(() -> {
+        return MicroBenchmark.medianMicros(() -> {
             SlotId slot = new SlotId("router", number.incrementAndGet());
             book.reserve(
                     "engine-0",
@@ -141,14 +158,14 @@
         });
     }
 
-    private static double configurationHeap(double size) {
-        return Stopwatch.heapBytes(() -> configuration((int) size));
+    private static double configurationHeapBytes(double size) {
+        return MicroBenchmark.retainedHeapBytes(() -> configuration((int) size));
     }
 
-    private static double change(double size) {
+    private static double changeMicros(double size) {
         Configuration configuration = configuration((int) size);
         List<ConfigurationChange> changes = List.of(workspaceChange(configuration.revision() + 1, 3));
-        return Stopwatch.micros(() -> configuration.after(changes));
+        return MicroBenchmark.medianMicros(() -> configuration.after(changes));
     }
 
     private static Configuration configuration(int workspaces) {
@@ -174,7 +191,7 @@
         List<VmListing> listings = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             Address address = new Address("10.1." + i / 250 + '.' + i % 250, 8_000);
-            listings.add(new VmListing("engine-" + i, "mh3k2a1b", VmKind.ENGINE, place(i), address, false));
+            listings.add(new VmListing("engine-" + i, "mh3k2a1b", VmKind.ENGINE, dataCentre(i), address, false));
         }
         directory.listed(listings, NOW);
         for (int i = 0; i < size; i++) {
@@ -191,7 +208,7 @@
             endpoints.add(new Engine(
                     "engine-" + i,
                     "mh3k2a1b",
-                    place(i),
+                    dataCentre(i),
                     new Address("10.1.1.1", 8_000),
                     EndpointState.READY,
                     Set.of(POOL),
@@ -203,21 +220,21 @@
     private static List<Vm> vms(int count) {
         List<Vm> vms = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            vms.add(new Vm("router-" + i, place(i), new Address("10.2.1.1", 8_001), false));
+            vms.add(new Vm("router-" + i, dataCentre(i), new Address("10.2.1.1", 8_001), false));
         }
         return vms;
     }
 
-    private static DataCentre place(int index) {
-        return PLACES.get(index % PLACES.size());
+    private static DataCentre dataCentre(int index) {
+        return DATA_CENTRES.get(index % DATA_CENTRES.size());
     }
 
-    private static List<DataCentre> places() {
-        List<DataCentre> places = new ArrayList<>();
+    private static List<DataCentre> dataCentres() {
+        List<DataCentre> dataCentres = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            places.add(new DataCentre("place-" + i));
+            dataCentres.add(new DataCentre("place-" + i));
         }
-        return places;
+        return dataCentres;
     }
 
     private static byte[] encode(Envelope envelope) {
@@ -237,12 +254,12 @@
     }
 
     /**
-     * What a message costs.
+     * Size of a kind of message, and the time to encode and decode a message.
      *
-     * @param kind the kind
-     * @param bytes its bytes with the frame
-     * @param encodeMicros the time to write it
-     * @param decodeMicros the time to read it
+     * @param kind the kind of message
+     * @param bytes the encoded size in bytes, with the length prefix of the frame
+     * @param encodeMicros the time to encode a message, in microseconds
+     * @param decodeMicros the time to decode a message, in microseconds
      * @since 0.1.0
      */
     public record MessageCost(String kind, int bytes, double encodeMicros, double decodeMicros) {}
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeReport.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeReport.java
@@ -9,55 +9,55 @@
 import java.util.Locale;
 
 /**
- * The slopes that were measured, as a file and as tables.
+ * Report of measured slopes, which is stored as JSON and printed as tables.
  *
- * @param series quantities at several sizes
- * @param messages what messages cost
+ * @param series the quantities that were measured at several sizes
+ * @param messages the cost of each kind of message
  * @since 0.1.0
  */
 public record SlopeReport(List<Series> series, List<SlopeBench.MessageCost> messages) {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     /**
-     * Reads a report.
+     * Reads a report from a JSON file.
      *
      * @param file the file
-     * @throws IOException if it cannot be read
+     * @throws IOException if the file cannot be read
      */
     public static SlopeReport read(Path file) throws IOException {
         return JSON.readValue(file.toFile(), SlopeReport.class);
     }
 
     /**
-     * Writes the report.
+     * Writes the report to a JSON file.
      *
      * @param file the file
-     * @throws IOException if it cannot be written
+     * @throws IOException if the file cannot be written
      */
     public void write(Path file) throws IOException {
         JSON.writeValue(file.toFile(), this);
     }
 
-    /** Returns the tables of what was measured, in Markdown. */
+    /** Returns the lines of Markdown tables with all measurements. */
     public List<String> tables() {
         List<String> lines = new ArrayList<>();
         lines.add("| measured | unit | sizes: values | slope | fit's error | at the target |");
         lines.add("|---|---|---|---|---|---|");
-        for (Series one : series) {
-            LinearFit fit = one.fit();
+        for (Series quantity : series) {
+            LinearFit fit = quantity.fit();
             StringBuilder values = new StringBuilder();
-            one.points().forEach(point -> values.append(format("%.0f: %.4g; ", point.size(), point.value())));
+            quantity.points().forEach(point -> values.append(format("%.0f: %.4g; ", point.size(), point.value())));
             lines.add(format(
                     "| %s | %s | %s%s | %.4g per %s | %.0f%% | %.4g at %.0f |",
-                    one.name(),
-                    one.unit(),
+                    quantity.name(),
+                    quantity.unit(),
                     values,
-                    one.variable(),
+                    quantity.variable(),
                     fit.slope(),
-                    one.variable(),
-                    fit.error() * 100,
-                    fit.at(one.target()),
-                    one.target()));
+                    quantity.variable(),
+                    fit.maxRelativeError() * 100,
+                    fit.valueAt(quantity.target()),
+                    quantity.target()));
         }
         lines.add("");
         lines.add("| message | bytes | write, us | read, us |");
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measured slopes, and the capacity tables worked out from them; not API.
+ * Measured slopes and the capacity tables that are derived from them. Internal; not part of the API.
  *
  * @since 0.1.0
  */
--- a/radishpass-load/src/main/java/org/radishpass/load/package-info.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Open-loop load, audit and report.
+ * Open-loop load generation, audit and reports.
  *
  * @since 0.1.0
  */
