--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/RequestResult.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/RequestResult.java
@@ -3,13 +3,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Result of one request, after all attempts.
+ * Result of a request, or of a single attempt at a request.
  *
  * @param arrival the request
  * @param outcome the kind of result
  * @param verdict the verdict of a refusal, or null without a refusal
  * @param code the error code of a refusal, or null without a refusal
- * @param attempts how often the request was sent
+ * @param attempts the number of attempts so far
  * @param firstTokenNanos the time from when the request was due to its first token; equals the total time if no part
  *     of a stream arrived
  * @param totalNanos the time from when the request was due to its end
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/Series.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/Series.java
@@ -7,7 +7,7 @@
  *
  * @param name the quantity that was measured
  * @param unit the unit of the quantity
- * @param variable the thing whose number is the size, such as endpoints
+ * @param variable the name of the items that the size counts, such as endpoints
  * @param target the size for which the system is designed
  * @param points the measurements
  * @since 0.1.0
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeReport.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeReport.java
@@ -21,7 +21,7 @@
     /**
      * Reads a report from a JSON file.
      *
-     * @param file the file
+     * @param file the JSON file
      * @throws IOException if the file cannot be read
      */
     public static SlopeReport read(Path file) throws IOException {
@@ -31,7 +31,7 @@
     /**
      * Writes the report to a JSON file.
      *
-     * @param file the file
+     * @param file the JSON file
      * @throws IOException if the file cannot be written
      */
     public void write(Path file) throws IOException {
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineSettings.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineSettings.java
@@ -23,7 +23,7 @@
     public static final EngineSettings DEFAULT = new EngineSettings(32, 60, 4_000, 4_000, 500, true);
 
     /**
-     * Returns these settings with stale orders either rejected or accepted.
+     * Returns a copy of these settings with another choice for outdated orders.
      *
      * @param newRejectsStaleOrders whether orders with an outdated fencing number are refused
      */
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmListStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/VmListStandIn.java
@@ -21,8 +21,8 @@
 import org.radishpass.standin.link.Network;
 
 /**
- * Stand-in for the platform's VM list. Contains the stand-in endpoints and the routers that wrote a ports file, as of a
- * configurable time ago.
+ * Stand-in for the platform's VM list. Contains the stand-in endpoints and the routers that wrote a ports file, as
+ * they were a configurable time ago.
  *
  * @since 0.1.0
  */
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Takes a snapshot of the machines, which the list shows after the configured lag. Must not be called on an event
+     * Takes a snapshot of the machines, which the list shows once the snapshot has reached the configured age. Must not be called on an event
      * loop, because creating network links blocks.
      */
     public void refresh() {
