--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/Batch.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/Batch.java
@@ -8,7 +8,8 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * The slots of an engine's batch, and the queue of requests that wait for a slot in order of priority.
+ * The slots of an engine's batch, and the queue of requests that wait for a slot. The smallest priority number is served
+ * first, and requests of equal priority are served in order of arrival.
  *
  * @since 0.1.0
  */
