--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ColdEndpoints.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ColdEndpoints.java
@@ -39,7 +39,7 @@
      * @param configuration the configuration in force
      * @param nowMillis the current time on the monotonic clock, in milliseconds
      */
-    Map<String, Long> untilMillis(RoutingConfiguration configuration, long nowMillis) {
+    Map<String, Long> coldUntilMillisById(RoutingConfiguration configuration, long nowMillis) {
         Map<String, Long> untilMillisById = new HashMap<>();
         Map<DataCentre, Long> returnedAtMillis = drains.returnedAtMillis();
         for (ServiceEndpoint endpoint : directory.directory().all()) {
@@ -60,18 +60,18 @@
     private long coldUntilByEntry(ServiceEndpoint endpoint, long nowMillis) {
         long storeMillis = endpoint.coldUntilStoreMillis();
         if (storeMillis == ServiceEndpoint.NEVER_COLD) {
-            return StoreClock.NEVER;
+            return StoreClock.UNKNOWN_MILLIS;
         }
-        long latestMillis = storeClock.latest(storeMillis, nowMillis);
+        long latestMillis = storeClock.latestLocalMillis(storeMillis, nowMillis);
         // While the store's time is unknown, the time that was left when the list was read counts from now.
-        return latestMillis == StoreClock.NEVER
-                ? nowMillis + storeMillis - directory.reading().storeMillis()
+        return latestMillis == StoreClock.UNKNOWN_MILLIS
+                ? nowMillis + storeMillis - directory.listVersion().storeMillis()
                 : latestMillis;
     }
 
     private long coldUntilAfterDrain(@Nullable Long returnedAtMillis, ColdStart coldStart) {
         if (returnedAtMillis == null || directory.readAtMillis() >= returnedAtMillis + ENTRY_UPDATE_DELAY_MILLIS) {
-            return StoreClock.NEVER;
+            return StoreClock.UNKNOWN_MILLIS;
         }
         return returnedAtMillis + ENTRY_UPDATE_DELAY_MILLIS + coldStart.millis();
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
@@ -20,7 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFollower.class);
 
     /** How long the store may hold a long poll open; most polls end earlier. */
-    static final Duration WAIT = Duration.ofSeconds(20);
+    static final Duration MAX_LONG_POLL_DURATION = Duration.ofSeconds(20);
 
     /**
      * Milliseconds from which a transfer of the whole document counts as slow, so that this router relies on peers. The
@@ -42,7 +42,7 @@
     private final MonotonicClock clock;
     private final ControlSource source;
     private final Listener listener;
-    private final RetryPause retryPause = new RetryPause();
+    private final RetryBackoff retryBackoff = new RetryBackoff();
     private final Disposable.Swap request = Disposables.swap();
     private State state = State.IDLE;
     private boolean checkInProgress;
@@ -164,7 +164,7 @@
         LongConsumer onResponseStart = bytes -> thread.run(() -> responseStarted(number, bytes));
         request.update((fullRead
                         ? source.configuration(onResponseStart)
-                        : source.configurationAfter(position, WAIT, onResponseStart))
+                        : source.configurationAfter(position, MAX_LONG_POLL_DURATION, onResponseStart))
                 .publishOn(thread.scheduler())
                 .subscribe(result -> responseReceived(result, fullRead)));
     }
@@ -190,16 +190,16 @@
         return state == State.RECEIVING;
     }
 
-    private void responseReceived(ConfigurationReading result, boolean fullRead) {
+    private void responseReceived(ConfigurationReadResult result, boolean fullRead) {
         latestRequestNumber++;
         state = State.IDLE;
-        if (result instanceof ConfigurationReading.Unavailable unavailable) {
+        if (result instanceof ConfigurationReadResult.Unavailable unavailable) {
             LOG.info("cannot read the configuration from the store, retrying after a pause: {}", unavailable.reason());
             listener.receivingChanged();
-            pauseFor(retryPause.next());
+            pauseFor(retryBackoff.next());
             return;
         }
-        boolean historyLostAgain = historyLost && result instanceof ConfigurationReading.HistoryLost;
+        boolean historyLostAgain = historyLost && result instanceof ConfigurationReadResult.HistoryLost;
         firstLongPoll = fullRead;
         if (fullRead) {
             fullReadMillis = clock.millis() - fullReadStartedAtMillis;
@@ -209,9 +209,9 @@
         }
         apply(result);
         if (historyLostAgain) {
-            pauseFor(retryPause.next());
+            pauseFor(retryBackoff.next());
         } else {
-            retryPause.reset();
+            retryBackoff.reset();
             pollIfResponsible();
         }
     }
@@ -233,15 +233,15 @@
         }
     }
 
-    private void apply(ConfigurationReading result) {
-        if (result instanceof ConfigurationReading.Published published) {
+    private void apply(ConfigurationReadResult result) {
+        if (result instanceof ConfigurationReadResult.Published published) {
             position = laterPosition(published.position());
             listener.drainsRead(published.drains());
             listener.configurationRead(published.content());
-        } else if (result instanceof ConfigurationReading.Unchanged unchanged) {
+        } else if (result instanceof ConfigurationReadResult.Unchanged unchanged) {
             position = laterPosition(unchanged.position());
             listener.drainsRead(unchanged.drains());
-        } else if (result instanceof ConfigurationReading.HistoryLost) {
+        } else if (result instanceof ConfigurationReadResult.HistoryLost) {
             LOG.info(
                     "the store no longer has the history since the last read; reading the whole configuration",
                     LogEvent.STORE_HISTORY.field());
@@ -263,7 +263,7 @@
         void receivingChanged();
 
         /** Called with the data-centre drains that a response reports. */
-        void drainsRead(DrainReading reading);
+        void drainsRead(DrainReport report);
 
         /** Called with a configuration document that the store returned. */
         void configurationRead(byte[] content);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationReadResult.java
@@ -7,7 +7,7 @@
  *
  * @since 0.2.0
  */
-public sealed interface ConfigurationReading {
+public sealed interface ConfigurationReadResult {
     /**
      * The configuration that the store holds.
      *
@@ -16,10 +16,10 @@
      * @param drains the data-centre drains that the same response reports
      * @since 0.2.0
      */
-    record Published(StorePosition position, byte[] content, DrainReading drains) implements ConfigurationReading {
+    record Published(StorePosition position, byte[] content, DrainReport drains) implements ConfigurationReadResult {
         /** Creates a result without data-centre drains. */
         public Published(StorePosition position, byte[] content) {
-            this(position, content, DrainReading.NONE);
+            this(position, content, DrainReport.NONE);
         }
     }
 
@@ -30,10 +30,10 @@
      * @param drains the data-centre drains that the same response reports
      * @since 0.2.0
      */
-    record Unchanged(StorePosition position, DrainReading drains) implements ConfigurationReading {
+    record Unchanged(StorePosition position, DrainReport drains) implements ConfigurationReadResult {
         /** Creates a result without data-centre drains. */
         public Unchanged(StorePosition position) {
-            this(position, DrainReading.NONE);
+            this(position, DrainReport.NONE);
         }
     }
 
@@ -42,7 +42,7 @@
      *
      * @since 0.2.0
      */
-    record HistoryLost() implements ConfigurationReading {}
+    record HistoryLost() implements ConfigurationReadResult {}
 
     /**
      * The store did not respond, or refused the request.
@@ -50,5 +50,5 @@
      * @param reason why the request failed
      * @since 0.2.0
      */
-    record Unavailable(String reason) implements ConfigurationReading {}
+    record Unavailable(String reason) implements ConfigurationReadResult {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationTracker.java
@@ -42,7 +42,7 @@
      * @return whether the version is newer than the one in force and had not been announced before; always false before
      *     the first configuration
      */
-    boolean heardOf(long announcedVersion, long nowMillis) {
+    boolean noteAnnouncedVersion(long announcedVersion, long nowMillis) {
         if (current == null || announcedVersion <= Math.max(newestAnnouncedVersion, version())) {
             return false;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
@@ -53,9 +53,9 @@
     private final RegistryCleaner registryCleaner;
     private final Registration registration;
     private final QuarantinePersistence quarantine;
-    private final StoreRestore restore;
+    private final StoreRestoreHandler restoreHandler;
     private final Flux<Long> eras;
-    private final StoreReadings readings;
+    private final StoreReadMonitor readMonitor;
     private volatile RoutingView view = RoutingView.UNKNOWN;
     private long configurationSinceMillis;
 
@@ -93,17 +93,17 @@
         this.configuration = new ConfigurationTracker(decoder);
         StoreClock storeClock = new StoreClock();
         StoreEra era = new StoreEra();
-        FleetView fleet = new FleetView(configuration, directory, drains, storeClock, era);
+        ControlState controlState = new ControlState(configuration, directory, drains, storeClock, era);
         this.coldEndpoints = new ColdEndpoints(directory, drains, storeClock);
-        this.readings = new StoreReadings(metrics, era);
+        this.readMonitor = new StoreReadMonitor(metrics, era);
         this.eras = source.eras();
         this.follower = new StoreFollower(
-                thread, clock, source, fleet, new UnusableEntries(metrics), readings, new StoreListener());
+                thread, clock, source, controlState, new UnusableEntries(metrics), readMonitor, new StoreListener());
         this.registryCleaner = new RegistryCleaner(source);
         this.registration = new Registration(thread, source, self);
         this.quarantine = new QuarantinePersistence(thread, clock, source, storeClock, suspects);
-        this.peers = new PeerExchange(thread, clock, self, work, suspects, fleet, new PeerListener());
-        this.restore = new StoreRestore(readings, follower, registration, quarantine, peers);
+        this.peers = new PeerExchange(thread, clock, self, work, suspects, controlState, new PeerListener());
+        this.restoreHandler = new StoreRestoreHandler(readMonitor, follower, registration, quarantine, peers);
         Gauge.builder(
                         "radishpass.datacentres.drained",
                         this,
@@ -120,7 +120,7 @@
 
     /** Starts to read the store. */
     void start() {
-        eras.publishOn(thread.scheduler()).subscribe(era -> restore.eraTold(era, DirectoryOrigin.STORE));
+        eras.publishOn(thread.scheduler()).subscribe(era -> restoreHandler.eraObserved(era, DirectoryOrigin.STORE));
         follower.start();
         suspects.onSuspects(new SuspectReportListener());
         thread.run(quarantine::load);
@@ -135,7 +135,7 @@
     void join(PeerLinks links, List<Address> seeds) {
         peers.start(links);
         peers.learnAddresses(seeds);
-        registration.register(peers::learn);
+        registration.register(peers::addRouters);
         publish();
     }
 
@@ -163,12 +163,12 @@
     }
 
     /**
-     * Records that an answer came from another endpoint than the one listed at its address. May be called from any
+     * Records that a response came from another endpoint than the one listed at its address. May be called from any
      * thread.
      */
-    void endpointGone(String endpointId) {
+    void addressTakenOver(String endpointId) {
         thread.run(() -> {
-            if (directory.gone(endpointId)) {
+            if (directory.addressTakenOver(endpointId)) {
                 LOG.info(
                         "endpoint {} is treated as leaving, because its address now belongs to another endpoint",
                         endpointId,
@@ -178,7 +178,7 @@
         });
     }
 
-    /** Records that an endpoint stated in an answer that it is leaving. May be called from any thread. */
+    /** Records that an endpoint stated in a response that it is leaving. May be called from any thread. */
     void endpointLeaving(String endpointId) {
         thread.run(() -> {
             if (directory.statedLeaving(endpointId)) {
@@ -189,14 +189,14 @@
     }
 
     private void publish() {
-        readings.source(directory.origin().source(), directory.reading());
+        readMonitor.listSourceObserved(directory.origin().source(), directory.listVersion());
         view = new RoutingView(
                 configuration.current().orElse(null),
                 configurationSinceMillis,
                 configuration.newerExpectedUntilMillis(),
                 directory.directory(),
                 directory.known(),
-                follower.arriving(),
+                follower.knownOrReceiving(),
                 directory.origin(),
                 peers.started() ? peers.routerCount() : RoutingView.ROUTERS_UNKNOWN,
                 eligibility(),
@@ -211,7 +211,7 @@
                 drains.drained(),
                 configuration
                         .current()
-                        .map(current -> coldEndpoints.untilMillis(current, clock.millis()))
+                        .map(current -> coldEndpoints.coldUntilMillisById(current, clock.millis()))
                         .orElse(Map.of()),
                 regions);
     }
@@ -237,15 +237,15 @@
     private final class StoreListener implements StoreFollower.Listener {
         @Override
         public void eraRead(long era) {
-            restore.eraTold(era, DirectoryOrigin.STORE);
+            restoreHandler.eraObserved(era, DirectoryOrigin.STORE);
         }
 
         @Override
-        public void drains(DrainReading reading) {
-            if (drains.read(reading, clock.millis())) {
+        public void drains(DrainReport report) {
+            if (drains.apply(report, clock.millis())) {
                 drainsChanged("store");
             }
-            if (drains.awaitsRows()) {
+            if (drains.hasMissingRows()) {
                 thread.after(Duration.ofMillis(DrainTracker.GRACE_MILLIS), this::expireDrains);
             }
         }
@@ -264,7 +264,7 @@
         }
 
         @Override
-        public void arrivalChanged() {
+        public void receivingChanged() {
             publish();
         }
 
@@ -280,8 +280,8 @@
         }
 
         @Override
-        public ReadingDuty duty() {
-            return peers.duty();
+        public StoreReadScope storeReadScope() {
+            return peers.storeReadScope();
         }
     }
 
@@ -309,7 +309,7 @@
     private final class PeerListener implements PeerExchange.Listener {
         @Override
         public void storeEraReceived(long era, String origin) {
-            restore.eraTold(era, origin);
+            restoreHandler.eraObserved(era, origin);
         }
 
         @Override
@@ -351,7 +351,7 @@
         @Override
         public void routersExpired(List<FleetRouter> routers) {
             publish();
-            if (peers.duty().readsDirectory()) {
+            if (peers.storeReadScope().readsDirectory()) {
                 registryCleaner.clean(routers).subscribe();
             }
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlSource.java
@@ -36,11 +36,11 @@
      * @param onResponseStart called on any thread when a response starts to arrive, with its size in bytes; -1 if the
      *     size is unknown
      */
-    Mono<ConfigurationReading> configuration(LongConsumer onResponseStart);
+    Mono<ConfigurationReadResult> configuration(LongConsumer onResponseStart);
 
     /**
      * Waits for a configuration newer than a position in the store's history. If the store has been restored since, the
-     * result is {@link ConfigurationReading.HistoryLost}. The response may contain every version since the position and
+     * result is {@link ConfigurationReadResult.HistoryLost}. The response may contain every version since the position and
      * be correspondingly larger.
      *
      * @param after the position
@@ -48,24 +48,24 @@
      * @param onResponseStart called on any thread when a response starts to arrive, with its size in bytes; -1 if the
      *     size is unknown
      */
-    Mono<ConfigurationReading> configurationAfter(StorePosition after, Duration wait, LongConsumer onResponseStart);
+    Mono<ConfigurationReadResult> configurationAfter(StorePosition after, Duration wait, LongConsumer onResponseStart);
 
     /** Reads all registered endpoints. */
-    Mono<DirectoryReading> directory();
+    Mono<DirectoryReadResult> directory();
 
     /**
      * Registers this router, then reads all registered routers.
      *
      * @param self this router
      */
-    Mono<RegistryReading> register(FleetRouter self);
+    Mono<RegistryReadResult> register(FleetRouter self);
 
     /**
      * Reads all registered routers.
      *
      * @since 0.3.0
      */
-    Mono<RegistryReading> registered();
+    Mono<RegistryReadResult> registered();
 
     /**
      * Removes a router's registration, unless another process has registered at the same address since.
@@ -81,7 +81,7 @@
      *
      * @since 0.5.0
      */
-    Mono<QuarantineReading> quarantined();
+    Mono<QuarantineReadResult> quarantined();
 
     /**
      * Writes a quarantined request, or updates what is known of it.
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/FleetView.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlState.java
@@ -9,7 +9,7 @@
  * @param storeClock relates the store's clock to this router's clock
  * @param era the era of the store
  */
-record FleetView(
+record ControlState(
         ConfigurationTracker configuration,
         DirectoryTracker directory,
         DrainTracker drains,
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryReadResult.java
@@ -9,7 +9,7 @@
  *
  * @since 0.2.0
  */
-public sealed interface DirectoryReading {
+public sealed interface DirectoryReadResult {
     /**
      * All registered endpoints.
      *
@@ -24,7 +24,7 @@
             long storeMillis,
             List<ServiceEndpoint> endpoints,
             List<EndpointEntry.Unusable> unusable)
-            implements DirectoryReading {}
+            implements DirectoryReadResult {}
 
     /**
      * The store did not respond, or refused the request.
@@ -32,5 +32,5 @@
      * @param reason why the request failed
      * @since 0.2.0
      */
-    record Unavailable(String reason) implements DirectoryReading {}
+    record Unavailable(String reason) implements DirectoryReadResult {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
@@ -40,22 +40,22 @@
     private final ReplacedIncarnations replacedIncarnations = new ReplacedIncarnations();
     private final GoneIncarnations goneIncarnations = new GoneIncarnations();
     private final ReadContinuity continuity = new ReadContinuity();
-    private ListReading reading = ListReading.NONE;
-    private long readAtMillis = StoreClock.NEVER;
-    private long ownReadStoreMillis = StoreClock.NEVER;
+    private EndpointListVersion listVersion = EndpointListVersion.NONE;
+    private long readAtMillis = StoreClock.UNKNOWN_MILLIS;
+    private long ownReadStoreMillis = StoreClock.UNKNOWN_MILLIS;
     private boolean lastReadFailed;
     private String source = DirectoryOrigin.UNKNOWN.source();
     private long hash;
     private EndpointDirectory directory = EndpointDirectory.EMPTY;
 
     /** Returns the store read on which the list is based. */
-    ListReading reading() {
-        return reading;
+    EndpointListVersion listVersion() {
+        return listVersion;
     }
 
     /** Tells whether a list of endpoints has been read or received. */
     public boolean known() {
-        return reading.position().known();
+        return listVersion.position().known();
     }
 
     /**
@@ -68,7 +68,7 @@
 
     /**
      * Returns when this router itself last read the store, on the store's clock in milliseconds; {@link
-     * StoreClock#NEVER} if it has not read in this era.
+     * StoreClock#UNKNOWN_MILLIS} if it has not read in this era.
      */
     long ownReadStoreMillis() {
         return ownReadStoreMillis;
@@ -81,12 +81,12 @@
 
     /** Returns which router read the list, and at which position and time. */
     public DirectoryOrigin origin() {
-        return new DirectoryOrigin(reading.position(), readAtMillis, source, reading.settled());
+        return new DirectoryOrigin(listVersion.position(), readAtMillis, source, listVersion.settled());
     }
 
     /** Returns the list in the form in which it is sent to peers. */
     EndpointSnapshot snapshot() {
-        return new EndpointSnapshot(reading, List.copyOf(endpointsById.values()), Set.copyOf(retainedIds));
+        return new EndpointSnapshot(listVersion, List.copyOf(endpointsById.values()), Set.copyOf(retainedIds));
     }
 
     /** Returns a hash of the list; routers with equal lists have equal hashes. */
@@ -117,16 +117,16 @@
      * @param askedAtMillis when the request was sent, on the monotonic clock in milliseconds
      * @return whether the list has changed
      */
-    public boolean listed(DirectoryReading.Listed listed, long askedAtMillis) {
+    public boolean applyOwnRead(DirectoryReadResult.Listed listed, long askedAtMillis) {
         boolean firstList = !known();
         if (useOfRead(listed.position()) != ReadUse.USED) {
             lastReadFailed = false;
             return false;
         }
-        boolean restored = known() && listed.position().inLaterEraThan(reading.position());
+        boolean restored = known() && listed.position().inLaterEraThan(listVersion.position());
         boolean settled = updateContinuity(askedAtMillis, restored);
         lastReadFailed = false;
-        reading = new ListReading(listed.position(), listed.storeMillis(), settled);
+        listVersion = new EndpointListVersion(listed.position(), listed.storeMillis(), settled);
         readAtMillis = Math.max(readAtMillis, askedAtMillis);
         ownReadStoreMillis = listed.storeMillis();
         source = DirectoryOrigin.STORE;
@@ -143,11 +143,11 @@
 
     /** Returns whether a read by this router at a given position would be used or ignored. */
     ReadUse useOfRead(StorePosition read) {
-        return ReadUse.of(read, reading.position());
+        return ReadUse.of(read, listVersion.position());
     }
 
     private boolean updateContinuity(long askedAtMillis, boolean restored) {
-        boolean storeMayHaveBeenUnavailable = lastReadFailed || reading.settled();
+        boolean storeMayHaveBeenUnavailable = lastReadFailed || listVersion.settled();
         if (!known()) {
             continuity.firstRead(askedAtMillis);
         } else if (restored || ReadContinuity.isGap(askedAtMillis - readAtMillis, storeMayHaveBeenUnavailable)) {
@@ -165,42 +165,42 @@
      * @param peer the peer's id
      * @return whether the list has changed
      */
-    boolean peerListed(EndpointSnapshot list, long peerReadAtMillis, String peer) {
-        if (known() && !list.reading().supersedes(reading)) {
+    boolean applyPeerList(EndpointSnapshot list, long peerReadAtMillis, String peer) {
+        if (known() && !list.version().supersedes(listVersion)) {
             return false;
         }
         boolean firstList = !known();
-        boolean retainMissing = !firstList && !list.reading().settled();
-        adoptReading(list.reading(), peerReadAtMillis, peer);
+        boolean retainMissing = !firstList && !list.version().settled();
+        adoptVersion(list.version(), peerReadAtMillis, peer);
         return replaceEndpoints(list.endpoints(), list.retainedIds(), retainMissing) || firstList;
     }
 
     /**
      * Records that a peer's list equals this router's list.
      *
-     * @param peerReading the store read on which the peer's list is based
+     * @param peerVersion the store read on which the peer's list is based
      * @param peerReadAtMillis the earliest time of that read, on this router's monotonic clock in milliseconds
      * @param peer the peer's id
      */
-    void confirmed(ListReading peerReading, long peerReadAtMillis, String peer) {
-        if (peerReading.supersedes(reading)) {
-            adoptReading(peerReading, peerReadAtMillis, peer);
+    void confirmedByPeer(EndpointListVersion peerVersion, long peerReadAtMillis, String peer) {
+        if (peerVersion.supersedes(listVersion)) {
+            adoptVersion(peerVersion, peerReadAtMillis, peer);
         }
     }
 
-    private void adoptReading(ListReading newReading, long peerReadAtMillis, String peer) {
-        boolean restored = newReading.inLaterEraThan(reading);
+    private void adoptVersion(EndpointListVersion newVersion, long peerReadAtMillis, String peer) {
+        boolean restored = newVersion.inLaterEraThan(listVersion);
         if (!known() || restored) {
             continuity.interrupted(peerReadAtMillis);
         }
         if (restored) {
-            ownReadStoreMillis = StoreClock.NEVER;
-            goneIncarnations.storeRestored(newReading.storeMillis());
+            ownReadStoreMillis = StoreClock.UNKNOWN_MILLIS;
+            goneIncarnations.storeRestored(newVersion.storeMillis());
         }
-        reading = newReading;
+        listVersion = newVersion;
         readAtMillis = Math.max(readAtMillis, peerReadAtMillis);
         source = peer;
-        if (newReading.settled()) {
+        if (newVersion.settled()) {
             continuity.settledByPeer();
         }
     }
@@ -211,7 +211,7 @@
      * @param id the endpoint's id
      * @return whether the endpoint was listed and not yet leaving
      */
-    public boolean gone(String id) {
+    public boolean addressTakenOver(String id) {
         ServiceEndpoint endpoint = endpointsById.get(id);
         if (endpoint == null || endpoint.leaving()) {
             return false;
@@ -246,7 +246,7 @@
      * Returns the ids of leaving endpoints to include in the next message to peers. The endpoints stated it in their
      * own responses, and the store has not confirmed it yet.
      */
-    List<String> leavingToTell() {
+    List<String> leavingToAnnounce() {
         return leavingIncarnations.nextToAnnounce();
     }
 
@@ -286,7 +286,7 @@
 
     /** Tells whether a listed incarnation is known to have ended. */
     private boolean hasEnded(ServiceEndpoint endpoint, boolean retainedOnly) {
-        long readMillis = reading.storeMillis();
+        long readMillis = listVersion.storeMillis();
         return replacedIncarnations.isReplaced(endpoint)
                 || (retainedOnly && replacedIncarnations.differsFromLatest(endpoint))
                 || goneIncarnations.suppresses(endpoint.id(), readMillis)
@@ -314,7 +314,7 @@
     }
 
     private void updateDerivedState() {
-        hash = hashOf(endpointsById.values(), reading.storeMillis());
+        hash = hashOf(endpointsById.values(), listVersion.storeMillis());
         directory = new EndpointDirectory(endpointsById.values());
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
@@ -27,16 +27,16 @@
     private static final String ENDPOINTS = "endpoints";
 
     /**
-     * How long a router waits for the store before it asks a peer for a configuration. The store answers all routers at
+     * How long a router waits for the store before it asks a peer for a configuration. The store responds to all routers at
      * once, while a peer that serves a whole group is slow. A configuration must be in force within 2 s.
      */
     private static final Duration STORE_HEAD_START = Duration.ofMillis(350);
 
     /**
-     * Minimum milliseconds by which a reading of the store must be later to count as a new reading: a third of the
-     * interval between readings.
+     * Minimum milliseconds by which a read of the store must be later to count as a new read: a third of the
+     * interval between reads.
      */
-    private static final long MIN_READING_GAP_MILLIS = 300;
+    private static final long MIN_READ_GAP_MILLIS = 300;
 
     private final ControlThread thread;
     private final MonotonicClock clock;
@@ -48,13 +48,13 @@
     private final PendingFetches fetches = new PendingFetches();
     private final DocumentPacker packer = new DocumentPacker();
 
-    DocumentExchange(ControlThread thread, MonotonicClock clock, FleetView fleet, PeerExchange.Listener listener) {
+    DocumentExchange(ControlThread thread, MonotonicClock clock, ControlState state, PeerExchange.Listener listener) {
         this.thread = thread;
         this.clock = clock;
-        this.configuration = fleet.configuration();
-        this.directory = fleet.directory();
-        this.storeClock = fleet.storeClock();
-        this.era = fleet.era();
+        this.configuration = state.configuration();
+        this.directory = state.directory();
+        this.storeClock = state.storeClock();
+        this.era = state.era();
         this.listener = listener;
     }
 
@@ -65,29 +65,29 @@
      * @param peer the peer
      * @param state the state that the peer reported
      * @param readsConfiguration whether this router learns of newer configurations from the store
-     * @return whether the peer confirmed this router's endpoint list with a later reading of the store
+     * @return whether the peer confirmed this router's endpoint list with a later read of the store
      */
     boolean fetchNewer(PeerLinks links, Peer peer, RoutingMessage.RoutingState state, boolean readsConfiguration) {
-        if (configuration.heardOf(state.configuration(), clock.millis())) {
+        if (configuration.noteAnnouncedVersion(state.configuration(), clock.millis())) {
             listener.newerConfigurationExists();
         }
         if (state.configuration() > configuration.version()) {
             Duration wait = readsConfiguration && configuration.version() >= 0 ? STORE_HEAD_START : Duration.ZERO;
             fetch(links, peer, CONFIGURATION, wait, () -> state.configuration() > configuration.version());
         }
-        ListReading reading = peer.listReading();
-        if (directory.known() && !reading.supersedes(directory.reading())) {
+        EndpointListVersion peerVersion = peer.listVersion();
+        if (directory.known() && !peerVersion.supersedes(directory.listVersion())) {
             return false;
         }
         long nowMillis = clock.millis();
         if (directory.known() && state.directoryHash() == directory.hash()) {
-            long readAtMillis = storeClock.earliest(reading.storeMillis(), nowMillis);
-            boolean laterReading = readAtMillis - directory.readAtMillis() > MIN_READING_GAP_MILLIS;
-            directory.confirmed(reading, readAtMillis, peer.id());
-            return laterReading;
+            long readAtMillis = storeClock.earliestLocalMillis(peerVersion.storeMillis(), nowMillis);
+            boolean laterRead = readAtMillis - directory.readAtMillis() > MIN_READ_GAP_MILLIS;
+            directory.confirmedByPeer(peerVersion, readAtMillis, peer.id());
+            return laterRead;
         }
-        if (reading.position().known()) {
-            fetch(links, peer, ENDPOINTS, Duration.ZERO, () -> reading.supersedes(directory.reading()));
+        if (peerVersion.position().known()) {
+            fetch(links, peer, ENDPOINTS, Duration.ZERO, () -> peerVersion.supersedes(directory.listVersion()));
         }
         return false;
     }
@@ -111,7 +111,7 @@
         DocumentPacking packing = wanted.unpacks() ? DocumentPacking.COMPRESSED : DocumentPacking.PLAIN;
         return RoutingMessage.Document.of(
                 wanted.name(),
-                directory.reading().position().revision(),
+                directory.listVersion().position().revision(),
                 new PackedDocument(packing, packing.pack(list, list), "", ""));
     }
 
@@ -146,13 +146,13 @@
                 .publishOn(thread.scheduler())
                 .doFinally(signal -> thread.run(() -> fetches.end(name, peer.id())))
                 .subscribe(
-                        answer -> received(peer, base, answer),
+                        response -> received(peer, base, response),
                         error -> LOG.info(
                                 "router {} did not send the document {}: {}", peer.id(), name, error.toString()));
     }
 
-    private void received(Peer peer, SharedDocument base, PeerMessage answer) {
-        if (!(answer instanceof RoutingMessage.Document document) || document.version() < 0) {
+    private void received(Peer peer, SharedDocument base, PeerMessage response) {
+        if (!(response instanceof RoutingMessage.Document document) || document.version() < 0) {
             return;
         }
         try {
@@ -160,7 +160,7 @@
             if (document.name().equals(CONFIGURATION)) {
                 listener.configurationReceived(content, "router " + peer.id());
             } else {
-                adoptList(peer, EndpointListCodec.decode(content).resolved(era));
+                adoptList(peer, EndpointListCodec.decode(content).withResolvedEra(era));
             }
         } catch (IOException e) {
             LOG.error(
@@ -172,12 +172,12 @@
     }
 
     private void adoptList(Peer peer, EndpointSnapshot list) {
-        long readAtMillis = storeClock.earliest(list.reading().storeMillis(), clock.millis());
-        if (directory.peerListed(list, readAtMillis, peer.id())) {
+        long readAtMillis = storeClock.earliestLocalMillis(list.version().storeMillis(), clock.millis());
+        if (directory.applyPeerList(list, readAtMillis, peer.id())) {
             LOG.info(
                     "the endpoint list is replaced by that of router {}, as read from the store at {}",
                     peer.id(),
-                    list.reading().position(),
+                    list.version().position(),
                     LogEvent.ENDPOINTS.field());
             listener.endpointsChanged();
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DrainTracker.java
@@ -37,45 +37,45 @@
     /**
      * Applies a response of the store.
      *
-     * @param reading the drains that the response reports
+     * @param report the drains that the response reports
      * @param nowMillis the current time on the monotonic clock, in milliseconds
      * @return whether the tracked state has changed
      */
-    boolean read(DrainReading reading, long nowMillis) {
+    boolean apply(DrainReport report, long nowMillis) {
         boolean changed = false;
-        for (DataCentreDrain entry : reading.entries()) {
+        for (DataCentreDrain entry : report.entries()) {
             changed |= offer(entry, nowMillis);
         }
-        if (reading.whole()) {
-            changed |= endUnlistedDrains(reading, nowMillis);
+        if (report.complete()) {
+            changed |= endUnlistedDrains(report, nowMillis);
         }
         return changed;
     }
 
     /**
-     * Handles drains that a complete reading does not list. Such a drain has ended by then, or its row is missing from
+     * Handles drains that a complete report does not list. Such a drain has ended by then, or its row is missing from
      * the snapshot from which the store was restored.
      */
-    private boolean endUnlistedDrains(DrainReading reading, long nowMillis) {
+    private boolean endUnlistedDrains(DrainReport report, long nowMillis) {
         Set<DataCentre> named =
-                reading.entries().stream().map(DataCentreDrain::dataCentre).collect(Collectors.toSet());
+                report.entries().stream().map(DataCentreDrain::dataCentre).collect(Collectors.toSet());
         boolean changed = false;
         for (Change change : List.copyOf(changes.values())) {
             DataCentre dataCentre = change.drain.dataCentre();
             if (!change.drain.drained() || named.contains(dataCentre)) {
                 continue;
             }
-            if (reading.position().inLaterEraThan(change.drain.position())) {
-                missingRows.putIfAbsent(dataCentre, new MissingRow(reading.position(), nowMillis + GRACE_MILLIS));
+            if (report.position().inLaterEraThan(change.drain.position())) {
+                missingRows.putIfAbsent(dataCentre, new MissingRow(report.position(), nowMillis + GRACE_MILLIS));
             } else {
-                changed |= offer(new DataCentreDrain(dataCentre, reading.position(), false), nowMillis);
+                changed |= offer(new DataCentreDrain(dataCentre, report.position(), false), nowMillis);
             }
         }
         return changed;
     }
 
     /** Tells whether some data centres stay drained only until their missing rows have had time to be written again. */
-    boolean awaitsRows() {
+    boolean hasMissingRows() {
         return !missingRows.isEmpty();
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
@@ -21,14 +21,14 @@
     }
 
     static byte[] encode(EndpointSnapshot list) throws IOException {
-        ListReading reading = list.reading();
+        EndpointListVersion version = list.version();
         return MAPPER.writeValueAsBytes(new Document(
-                reading.position().revision(),
-                reading.storeMillis(),
-                reading.settled(),
+                version.position().revision(),
+                version.storeMillis(),
+                version.settled(),
                 list.endpoints().stream().map(Entry::of).toList(),
                 List.copyOf(list.retainedIds()),
-                reading.position().era()));
+                version.position().era()));
     }
 
     /**
@@ -41,7 +41,7 @@
         try {
             Document document = MAPPER.readValue(bytes, Document.class);
             return new EndpointSnapshot(
-                    new ListReading(
+                    new EndpointListVersion(
                             new StorePosition(document.era(), document.revision()),
                             document.storeMillis(),
                             document.settled()),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListFollower.java
@@ -5,7 +5,7 @@
 import org.radishpass.runtime.thread.ControlThread;
 
 /**
- * Reads the endpoint list at a fixed interval while this router is responsible for it, and after a {@link RetryPause}
+ * Reads the endpoint list at a fixed interval while this router is responsible for it, and after a {@link RetryBackoff}
  * while the store does not respond. Runs on the control thread.
  */
 final class EndpointListFollower {
@@ -32,7 +32,7 @@
     private final MonotonicClock clock;
     private final ControlSource source;
     private final Listener listener;
-    private final RetryPause retryPause = new RetryPause();
+    private final RetryBackoff retryBackoff = new RetryBackoff();
     private int latestScheduleNumber;
     private boolean readInProgress;
 
@@ -97,22 +97,22 @@
             }
         }
 
-        private void responseReceived(DirectoryReading result, long askedAtMillis) {
+        private void responseReceived(DirectoryReadResult result, long askedAtMillis) {
             pendingRequests--;
             if (finished) {
                 return;
             }
-            if (result instanceof DirectoryReading.Listed listed) {
+            if (result instanceof DirectoryReadResult.Listed listed) {
                 finished = true;
-                retryPause.reset();
+                retryBackoff.reset();
                 listener.listed(listed, askedAtMillis);
                 readInProgress = false;
                 scheduleRead(Duration.ofMillis(READ_INTERVAL_MILLIS));
-            } else if (result instanceof DirectoryReading.Unavailable unavailable && pendingRequests == 0) {
+            } else if (result instanceof DirectoryReadResult.Unavailable unavailable && pendingRequests == 0) {
                 finished = true;
                 listener.listUnavailable(unavailable.reason());
                 readInProgress = false;
-                scheduleRead(retryPause.next());
+                scheduleRead(retryBackoff.next());
             }
         }
     }
@@ -128,7 +128,7 @@
          * @param listed the store's response
          * @param askedAtMillis when the request was sent, on the monotonic clock in milliseconds
          */
-        void listed(DirectoryReading.Listed listed, long askedAtMillis);
+        void listed(DirectoryReadResult.Listed listed, long askedAtMillis);
 
         /** Called when the store did not respond or refused the request. */
         void listUnavailable(String reason);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ListReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListVersion.java
@@ -8,34 +8,35 @@
  * if the store's revision is the same.
  *
  * @param position the position in the store's history; {@link StorePosition#NONE} before the first read
- * @param storeMillis the time of the read on the store's clock, in milliseconds; {@link StoreClock#NEVER} before the
+ * @param storeMillis the time of the read on the store's clock, in milliseconds; {@link StoreClock#UNKNOWN_MILLIS} before the
  *     first read
  * @param settled whether endpoints that the read did not contain are known to be gone and are left out of the list.
  *     Otherwise they are retained for a while, since registrations may have expired while the store was unavailable, or
  *     a snapshot may lack them.
  * @since 0.4.0
  */
-public record ListReading(StorePosition position, long storeMillis, boolean settled) {
+public record EndpointListVersion(StorePosition position, long storeMillis, boolean settled) {
     /** Stands for no read. */
-    static final ListReading NONE = new ListReading(StorePosition.NONE, StoreClock.NEVER, false);
+    static final EndpointListVersion NONE =
+            new EndpointListVersion(StorePosition.NONE, StoreClock.UNKNOWN_MILLIS, false);
 
     /**
      * Returns this read, received from a peer, with the era filled in if the peer sent none.
      *
      * @param era the era as known to this router
      */
-    ListReading resolved(StoreEra era) {
-        return new ListReading(
-                new StorePosition(era.resolved(position.era()), position.revision()), storeMillis, settled);
+    EndpointListVersion withResolvedEra(StoreEra era) {
+        return new EndpointListVersion(
+                new StorePosition(era.resolveSentEra(position.era()), position.revision()), storeMillis, settled);
     }
 
     /** Tells whether the store was restored between another read and this one. */
-    boolean inLaterEraThan(ListReading other) {
+    boolean inLaterEraThan(EndpointListVersion other) {
         return position.inLaterEraThan(other.position);
     }
 
     /** Tells whether this read is later than another one of the same era. */
-    boolean laterThan(ListReading other) {
+    boolean laterThan(EndpointListVersion other) {
         return storeMillis > other.storeMillis;
     }
 
@@ -44,7 +45,7 @@
      * list never replaces a settled one: it would bring back endpoints that are gone for as long as missing endpoints
      * are retained, which is 2.3 s.
      */
-    boolean supersedes(ListReading other) {
+    boolean supersedes(EndpointListVersion other) {
         if (!position.known()) {
             return false;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/GoneIncarnations.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/GoneIncarnations.java
@@ -16,7 +16,7 @@
 
     private final Map<String, Boolean> goneIds = new BoundedMap<>();
     private Set<String> suppressedIds = Set.of();
-    private long suppressedUntilMillis = StoreClock.NEVER;
+    private long suppressedUntilMillis = StoreClock.UNKNOWN_MILLIS;
 
     /** Records that an incarnation is no longer listed. */
     void gone(String id) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
@@ -35,8 +35,8 @@
     private long gathererAtMillis = NEVER;
     private long memberAtMillis = NEVER;
     private long replyExpectedSinceMillis = NEVER;
-    private ListReading listReading = ListReading.NONE;
-    private long ownReadStoreMillis = StoreClock.NEVER;
+    private EndpointListVersion listVersion = EndpointListVersion.NONE;
+    private long ownReadStoreMillis = StoreClock.UNKNOWN_MILLIS;
     private long suspectedAtMillis = NEVER;
     private long probeAtMillis = NEVER;
     private long probePauseMillis = MIN_PROBE_PAUSE_MILLIS;
@@ -71,11 +71,11 @@
     }
 
     /**
-     * Records a state message of this peer and the store reading on which the peer's endpoint list is based. Returns
+     * Records a state message of this peer and the store read on which the peer's endpoint list is based. Returns
      * whether the peer was suspected until now.
      */
-    boolean recordState(RoutingMessage.RoutingState state, ListReading reading, long nowMillis) {
-        listReading = reading;
+    boolean recordState(RoutingMessage.RoutingState state, EndpointListVersion newListVersion, long nowMillis) {
+        listVersion = newListVersion;
         ownReadStoreMillis = state.ownReadMillis();
         if (state.scope().leads()) {
             gathererAtMillis = nowMillis;
@@ -160,9 +160,9 @@
         return lastContactAtMillis;
     }
 
-    /** Returns the store reading on which the peer's endpoint list is based. */
-    ListReading listReading() {
-        return listReading;
+    /** Returns the store read on which the peer's endpoint list is based. */
+    EndpointListVersion listVersion() {
+        return listVersion;
     }
 
     /** Returns when this peer itself last read the store, in milliseconds on the store's clock. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
@@ -41,7 +41,7 @@
     private final FleetRouter self;
     private final WorkSource work;
     private final SuspectSource suspects;
-    private final FleetView fleet;
+    private final ControlState controlState;
     private final Listener listener;
     private final PeerTable peers;
     private final ReaderElection readerElection;
@@ -56,25 +56,26 @@
             FleetRouter self,
             WorkSource work,
             SuspectSource suspects,
-            FleetView fleet,
+            ControlState controlState,
             Listener listener) {
         this.thread = thread;
         this.clock = clock;
         this.self = self;
         this.work = work;
         this.suspects = suspects;
-        this.fleet = fleet;
+        this.controlState = controlState;
         this.listener = listener;
         this.peers = new PeerTable(self);
-        this.readerElection = new ReaderElection(clock, self, peers, fleet.directory(), fleet.storeClock());
-        this.documents = new DocumentExchange(thread, clock, fleet, listener);
+        this.readerElection =
+                new ReaderElection(clock, self, peers, controlState.directory(), controlState.storeClock());
+        this.documents = new DocumentExchange(thread, clock, controlState, listener);
     }
 
     /** Starts to report to the peers. */
     void start(PeerLinks peerLinks) {
         this.links = peerLinks;
         this.suspectReporter = new SuspectReporter(thread, clock, self, suspects, peers, peerLinks);
-        this.workReporter = new WorkReporter(thread, clock, self, work, fleet, peers, peerLinks);
+        this.workReporter = new WorkReporter(thread, clock, self, work, controlState, peers, peerLinks);
         thread.every(Duration.ofMillis(TICK_MILLIS), this::tick);
     }
 
@@ -92,8 +93,8 @@
      * Adds routers named by the store, the settings or a peer. Router lists with the new ones are sent with the next
      * tick, and a new router of which only the address is known is asked for its details.
      */
-    void learn(Collection<FleetRouter> routers) {
-        List<Peer> added = peers.learn(routers, clock.millis());
+    void addRouters(Collection<FleetRouter> routers) {
+        List<Peer> added = peers.addOrMention(routers, clock.millis());
         if (added.isEmpty()) {
             return;
         }
@@ -104,7 +105,7 @@
 
     /** Adds routers of which only the address is known, and asks them for their details. */
     void learnAddresses(List<Address> addresses) {
-        learn(addresses.stream().map(FleetRouter::unlocated).toList());
+        addRouters(addresses.stream().map(FleetRouter::unlocated).toList());
     }
 
     /** Returns the number of known routers, including this router. */
@@ -181,8 +182,9 @@
     }
 
     /** Returns what this router has to read from the store. */
-    ReadingDuty duty() {
-        return readerElection.duty(workReporter().map(WorkReporter::gathering).orElse(true));
+    StoreReadScope storeReadScope() {
+        return readerElection.storeReadScope(
+                workReporter().map(WorkReporter::gathering).orElse(true));
     }
 
     /**
@@ -221,7 +223,7 @@
 
     private void onIntroduction(RoutingMessage.RouterEntry entry) {
         RoutingMessageMapper.toRouter(entry).ifPresent(router -> {
-            learn(List.of(router));
+            addRouters(List.of(router));
             peers.find(router.id()).ifPresent(peer -> {
                 onContact(peer, peer.recordContact(clock.millis()));
                 links().send(
@@ -236,7 +238,7 @@
     }
 
     private void onRouterList(String from, RoutingMessage.RouterList list) {
-        learn(RoutingMessageMapper.toRouters(list.routers()));
+        addRouters(RoutingMessageMapper.toRouters(list.routers()));
         peers.find(from).ifPresent(peer -> {
             onContact(peer, peer.recordContact(clock.millis()));
             documents.fetchMissing(links(), peer);
@@ -256,23 +258,25 @@
         if (state.storeEra() != StorePosition.NO_ERA) {
             listener.storeEraReceived(state.storeEra(), "router " + peer.id());
         }
-        onContact(peer, peer.recordState(state, RoutingMessageMapper.toListReading(state, fleet.era()), nowMillis));
-        if (RoutingMessageMapper.applyDrains(state.drains(), fleet.drains(), fleet.era(), nowMillis)) {
+        onContact(
+                peer,
+                peer.recordState(state, RoutingMessageMapper.toListVersion(state, controlState.era()), nowMillis));
+        if (RoutingMessageMapper.applyDrains(state.drains(), controlState.drains(), controlState.era(), nowMillis)) {
             listener.drainsChanged("router " + peer.id());
         }
         List<String> leaving = state.leaving().stream()
-                .filter(fleet.directory()::statedLeaving)
+                .filter(controlState.directory()::statedLeaving)
                 .toList();
         if (!leaving.isEmpty()) {
             listener.endpointsLeaving(leaving, "router " + peer.id());
         }
-        if (documents.fetchNewer(links(), peer, state, duty().readsConfiguration())) {
+        if (documents.fetchNewer(links(), peer, state, storeReadScope().readsConfiguration())) {
             onListConfirmed(nowMillis);
         }
     }
 
     /**
-     * Publishes that the endpoint list was confirmed by a later reading. Placements use the list's new age, and members
+     * Publishes that the endpoint list was confirmed by a later read. Placements use the list's new age, and members
      * of this router's group are notified.
      */
     private void onListConfirmed(long nowMillis) {
@@ -335,7 +339,7 @@
         /** Called when a peer reports that data centres have been drained or are in use again. */
         void drainsChanged(String origin);
 
-        /** Called when a peer reports endpoints that stated in their answers that they are leaving. */
+        /** Called when a peer reports endpoints that stated in their responses that they are leaving. */
         void endpointsLeaving(List<String> endpointIds, String origin);
 
         /** Called when the endpoint list has been replaced by that of a peer, or confirmed by a peer. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerTable.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerTable.java
@@ -49,7 +49,7 @@
     }
 
     /** Adds routers or records that they were mentioned. Returns the peers that were added. */
-    List<Peer> learn(Collection<FleetRouter> routers, long nowMillis) {
+    List<Peer> addOrMention(Collection<FleetRouter> routers, long nowMillis) {
         List<Peer> added = new ArrayList<>();
         for (FleetRouter router : routers) {
             if (router.id().equals(self.id())) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
@@ -35,7 +35,7 @@
     private static final long RETENTION_MILLIS = TimeUnit.HOURS.toMillis(25);
 
     /**
-     * Maximum attempts to write a row: with the pauses between them, about half a minute of a store that does not
+     * Maximum attempts to write a row: with the delays between them, about half a minute of a store that does not
      * answer.
      */
     private static final int MAX_ATTEMPTS = 12;
@@ -54,7 +54,7 @@
     private final ControlSource source;
     private final StoreClock storeClock;
     private final SuspectSource suspects;
-    private final RetryPause readPause = new RetryPause();
+    private final RetryBackoff readBackoff = new RetryBackoff();
     private final Map<RequestFingerprint, Boolean> savedByRequest = new LinkedHashMap<>();
 
     QuarantinePersistence(
@@ -70,22 +70,22 @@
         this.suspects = suspects;
     }
 
-    /** Loads the saved requests. Tries again until the store answers. */
+    /** Loads the saved requests. Tries again until the store responds. */
     void load() {
         source.quarantined().publishOn(thread.scheduler()).subscribe(this::onLoaded);
     }
 
-    private void onLoaded(QuarantineReading reading) {
-        if (reading instanceof QuarantineReading.Listed listed) {
+    private void onLoaded(QuarantineReadResult result) {
+        if (result instanceof QuarantineReadResult.Listed listed) {
             suspects.suspectsRestored(listed.suspects());
             listed.suspects().stream()
                     .filter(QuarantinePersistence::expired)
                     .forEach(suspect -> remove(suspect.request()));
-        } else if (reading instanceof QuarantineReading.Unavailable unavailable) {
+        } else if (result instanceof QuarantineReadResult.Unavailable unavailable) {
             LOG.info(
                     "quarantined requests could not be read from the store; the router tries again: {}",
                     unavailable.reason());
-            thread.after(readPause.next(), this::load);
+            thread.after(readBackoff.next(), this::load);
         }
     }
 
@@ -134,23 +134,23 @@
         write(
                 () -> source.quarantine(suspect, storeClock.latestStoreMillis(clock.millis())),
                 suspect.request(),
-                new RetryPause(),
+                new RetryBackoff(),
                 1);
     }
 
     /** Removes a request that is no longer quarantined. */
     void remove(RequestFingerprint request) {
         recordWrite(request, false);
-        write(() -> source.release(request), request, new RetryPause(), 1);
+        write(() -> source.release(request), request, new RetryBackoff(), 1);
     }
 
-    private void write(Supplier<Mono<Boolean>> call, RequestFingerprint request, RetryPause pause, int attempt) {
+    private void write(Supplier<Mono<Boolean>> call, RequestFingerprint request, RetryBackoff backoff, int attempt) {
         call.get().publishOn(thread.scheduler()).subscribe(done -> {
             if (done) {
                 return;
             }
             if (attempt < MAX_ATTEMPTS) {
-                thread.after(pause.next(), () -> write(call, request, pause, attempt + 1));
+                thread.after(backoff.next(), () -> write(call, request, backoff, attempt + 1));
             } else {
                 LOG.warn(
                         "the quarantine of request {} could not be updated in the store; the routers still know of it",
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantineReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantineReadResult.java
@@ -4,17 +4,17 @@
 import org.radishpass.routing.quarantine.Suspect;
 
 /**
- * The result of reading quarantined requests from the store.
+ * The result of a read of the quarantined requests from the store.
  *
  * @since 0.5.0
  */
-public sealed interface QuarantineReading {
+public sealed interface QuarantineReadResult {
     /**
      * The quarantined requests were read.
      *
      * @param suspects the requests
      */
-    record Listed(List<Suspect> suspects) implements QuarantineReading {
+    record Listed(List<Suspect> suspects) implements QuarantineReadResult {
         /** Copies the list of requests. */
         public Listed {
             suspects = List.copyOf(suspects);
@@ -22,9 +22,9 @@
     }
 
     /**
-     * The store did not answer, or refused to.
+     * The store did not respond, or refused to.
      *
-     * @param reason why the store did not answer
+     * @param reason why the store did not respond
      */
-    record Unavailable(String reason) implements QuarantineReading {}
+    record Unavailable(String reason) implements QuarantineReadResult {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ReadContinuity.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ReadContinuity.java
@@ -18,7 +18,7 @@
      */
     static final long MAX_CONTINUOUS_GAP_MILLIS = 1_900;
 
-    private long continuousSinceMillis = StoreClock.NEVER;
+    private long continuousSinceMillis = StoreClock.UNKNOWN_MILLIS;
     private boolean retainsMissing;
 
     /** Tells whether endpoints that a read does not contain are currently retained. */
@@ -42,7 +42,7 @@
 
     /** Records that a peer has read continuously for long enough, so that missing endpoints are gone. */
     void settledByPeer() {
-        continuousSinceMillis = StoreClock.NEVER;
+        continuousSinceMillis = StoreClock.UNKNOWN_MILLIS;
         retainsMissing = false;
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
@@ -35,11 +35,11 @@
      * @param learn receives all registered routers, on the control thread
      */
     void register(Consumer<Collection<FleetRouter>> learn) {
-        source.register(self).publishOn(thread.scheduler()).subscribe(reading -> {
-            if (reading instanceof RegistryReading.Registered registered) {
+        source.register(self).publishOn(thread.scheduler()).subscribe(result -> {
+            if (result instanceof RegistryReadResult.Registered registered) {
                 position = registered.position();
                 learn.accept(registered.routers());
-            } else if (reading instanceof RegistryReading.Unavailable unavailable) {
+            } else if (result instanceof RegistryReadResult.Unavailable unavailable) {
                 LOG.info("this router could not be registered in the store; it tries again: {}", unavailable.reason());
                 thread.after(RETRY_PAUSE, () -> registerUnlessRemoved(learn));
             }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryCleaner.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryCleaner.java
@@ -32,8 +32,8 @@
      */
     Mono<Void> clean(Collection<FleetRouter> gone) {
         Set<String> ids = gone.stream().map(FleetRouter::id).collect(Collectors.toSet());
-        return source.registered().flatMap(reading -> {
-            if (reading instanceof RegistryReading.Registered registered) {
+        return source.registered().flatMap(result -> {
+            if (result instanceof RegistryReadResult.Registered registered) {
                 return Flux.fromIterable(registered.registrations())
                         .filter(registration ->
                                 ids.contains(registration.router().id()))
@@ -45,7 +45,7 @@
         });
     }
 
-    private Mono<Boolean> remove(RegistryReading.Registration registration) {
+    private Mono<Boolean> remove(RegistryReadResult.Registration registration) {
         return source.deregister(registration.router().address(), registration.position())
                 .doOnNext(removed -> LOG.info(
                         "the registration of lost router {} was {}",
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryReading.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RegistryReadResult.java
@@ -9,7 +9,7 @@
  *
  * @since 0.2.0
  */
-public sealed interface RegistryReading {
+public sealed interface RegistryReadResult {
     /**
      * All registered routers, including this one.
      *
@@ -18,7 +18,7 @@
      *     StorePosition#NONE} if there is none
      * @since 0.2.0
      */
-    record Registered(List<Registration> registrations, StorePosition position) implements RegistryReading {
+    record Registered(List<Registration> registrations, StorePosition position) implements RegistryReadResult {
         /** Returns the registered routers. */
         public List<FleetRouter> routers() {
             return registrations.stream().map(Registration::router).toList();
@@ -35,10 +35,10 @@
     record Registration(FleetRouter router, StorePosition position) {}
 
     /**
-     * The store did not answer, or refused to.
+     * The store did not respond, or refused to.
      *
-     * @param reason why the store did not answer
+     * @param reason why the store did not respond
      * @since 0.2.0
      */
-    record Unavailable(String reason) implements RegistryReading {}
+    record Unavailable(String reason) implements RegistryReadResult {}
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RetryPause.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RetryBackoff.java
@@ -4,16 +4,16 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Computes how long to wait before the next request to the store. The pause grows with each failure and is randomized,
+ * Computes how long to wait before the next request to the store. The delay grows with each failure and is randomized,
  * so that routers do not retry at the same time.
  */
-final class RetryPause {
-    /** The first pause in milliseconds; short, since a single lost response should cost little time. */
+final class RetryBackoff {
+    /** The first delay in milliseconds; short, since a single lost response should cost little time. */
     private static final long INITIAL_MILLIS = 350;
 
     /**
-     * The longest pause in milliseconds. A request that hangs takes 800 ms itself, and a configuration must be in force
-     * within 2 s after the store has worked for 3 s. With pauses of 2,000 ms that bound was not met.
+     * The longest delay in milliseconds. A request that hangs takes 800 ms itself, and a configuration must be in force
+     * within 2 s after the store has worked for 3 s. With delays of 2,000 ms that bound was not met.
      */
     private static final long MAX_MILLIS = 700;
 
@@ -21,15 +21,15 @@
 
     private double millis = INITIAL_MILLIS;
 
-    /** Returns the next pause, lengthened by a random share of up to 25%. */
+    /** Returns the next delay, lengthened by a random share of up to 25%. */
     Duration next() {
-        double pause = millis;
+        double delayMillis = millis;
         millis = Math.min(MAX_MILLIS, millis * GROWTH_FACTOR);
         return Duration.ofMillis(
-                (long) (pause * (1 + ThreadLocalRandom.current().nextDouble() / 4)));
+                (long) (delayMillis * (1 + ThreadLocalRandom.current().nextDouble() / 4)));
     }
 
-    /** Returns to the first pause, because the store has responded. */
+    /** Returns to the first delay, because the store has responded. */
     void reset() {
         millis = INITIAL_MILLIS;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
@@ -39,7 +39,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RoutedRouter.class);
 
     /**
-     * Pause before binding a peer address that is in use is tried again. A process that ends releases its address
+     * Delay before binding a peer address that is in use is tried again. A process that ends releases its address
      * within that time.
      */
     private static final Duration BIND_RETRY_PAUSE = Duration.ofMillis(500);
@@ -59,7 +59,13 @@
         this.metrics = builder.metrics;
         EventLoop loop = loops.onServer(false).next();
         this.traffic = new TrafficServer(
-                loop, MonotonicClock.SYSTEM, this::view, builder.dialect, builder.home, new AnswerListener(), metrics);
+                loop,
+                MonotonicClock.SYSTEM,
+                this::view,
+                builder.dialect,
+                builder.home,
+                new ResponseStatementListener(),
+                metrics);
         this.start = new StartSequence(thread, traffic);
         this.control = new ControlPlane(
                 thread,
@@ -80,7 +86,7 @@
      * @param loops the event loops, of which a router uses one
      * @param source the store
      * @param decoder decodes configurations
-     * @param dialect translates request and answer heads
+     * @param dialect translates request and response heads
      */
     public static Builder builder(
             LoopResources loops, ControlSource source, ConfigurationDecoder decoder, RequestDialect dialect) {
@@ -159,11 +165,11 @@
         return control.view();
     }
 
-    /** Passes what answers state about endpoints to the control side. */
-    private final class AnswerListener implements EndpointListener {
+    /** Passes what responses state about endpoints to the control plane. */
+    private final class ResponseStatementListener implements EndpointListener {
         @Override
         public void gone(ServiceEndpoint endpoint) {
-            control.endpointGone(endpoint.id());
+            control.addressTakenOver(endpoint.id());
         }
 
         @Override
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutingMessageMapper.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutingMessageMapper.java
@@ -96,17 +96,17 @@
                 ? Optional.empty()
                 : Optional.of(new DataCentreDrain(
                         new DataCentre(entry.dataCentre()),
-                        new StorePosition(era.resolved(entry.era()), entry.revision()),
+                        new StorePosition(era.resolveSentEra(entry.era()), entry.revision()),
                         entry.drained()));
     }
 
-    /** Returns the store reading on which a peer's endpoint list is based. */
-    static ListReading toListReading(RoutingMessage.RoutingState state, StoreEra era) {
-        return new ListReading(
+    /** Returns the store read on which a peer's endpoint list is based. */
+    static EndpointListVersion toListVersion(RoutingMessage.RoutingState state, StoreEra era) {
+        return new EndpointListVersion(
                         new StorePosition(state.directoryEra(), state.directory()),
                         state.directoryReadMillis(),
                         state.directorySettled())
-                .resolved(era);
+                .withResolvedEra(era);
     }
 
     /** Returns the addresses that can be parsed. Malformed addresses are logged and left out. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreClock.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreClock.java
@@ -14,7 +14,7 @@
  */
 final class StoreClock {
     /** Stands for an unknown time, on either clock; earlier than all others. */
-    static final long NEVER = Long.MIN_VALUE / 2;
+    static final long UNKNOWN_MILLIS = Long.MIN_VALUE / 2;
 
     /**
      * Largest drift between two clocks, in milliseconds per millisecond: quartz oscillators are off by at most 100 ppm
@@ -31,7 +31,7 @@
     private double minOffsetMillis;
 
     private double maxOffsetMillis;
-    private long observedAtMillis = NEVER;
+    private long observedAtMillis = UNKNOWN_MILLIS;
 
     /**
      * Narrows the offset bounds with a response of the store.
@@ -43,7 +43,7 @@
     void observed(long askedAtMillis, long answeredAtMillis, long storeMillis) {
         double newMinMillis = (double) askedAtMillis - storeMillis;
         double newMaxMillis = (double) answeredAtMillis - storeMillis;
-        if (observedAtMillis != NEVER) {
+        if (observedAtMillis != UNKNOWN_MILLIS) {
             double driftMillis = MAX_DRIFT * (answeredAtMillis - observedAtMillis);
             double commonMinMillis = Math.max(newMinMillis, minOffsetMillis - driftMillis);
             double commonMaxMillis = Math.min(newMaxMillis, maxOffsetMillis + driftMillis);
@@ -66,7 +66,7 @@
      * @param nowMillis the current time on this router's clock, in milliseconds
      */
     long latestStoreMillis(long nowMillis) {
-        if (observedAtMillis == NEVER) {
+        if (observedAtMillis == UNKNOWN_MILLIS) {
             return ControlSource.TIME_UNKNOWN;
         }
         double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
@@ -74,15 +74,15 @@
     }
 
     /**
-     * Returns the latest time on this router's clock that a time on the store's clock may correspond to; {@link #NEVER}
+     * Returns the latest time on this router's clock that a time on the store's clock may correspond to; {@link #UNKNOWN_MILLIS}
      * before the first response of the store.
      *
      * @param storeMillis the time on the store's clock, in milliseconds
      * @param nowMillis the current time on this router's clock, in milliseconds
      */
-    long latest(long storeMillis, long nowMillis) {
-        if (observedAtMillis == NEVER) {
-            return NEVER;
+    long latestLocalMillis(long storeMillis, long nowMillis) {
+        if (observedAtMillis == UNKNOWN_MILLIS) {
+            return UNKNOWN_MILLIS;
         }
         double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
         return (long) Math.ceil(storeMillis + maxOffsetMillis + driftMillis);
@@ -90,14 +90,14 @@
 
     /**
      * Returns the earliest time on this router's clock that a time on the store's clock may correspond to, but not
-     * after the current time; {@link #NEVER} before the first response of the store.
+     * after the current time; {@link #UNKNOWN_MILLIS} before the first response of the store.
      *
-     * @param storeMillis the time on the store's clock, in milliseconds; {@link #NEVER} if unknown
+     * @param storeMillis the time on the store's clock, in milliseconds; {@link #UNKNOWN_MILLIS} if unknown
      * @param nowMillis the current time on this router's clock, in milliseconds
      */
-    long earliest(long storeMillis, long nowMillis) {
-        if (observedAtMillis == NEVER || storeMillis == NEVER) {
-            return NEVER;
+    long earliestLocalMillis(long storeMillis, long nowMillis) {
+        if (observedAtMillis == UNKNOWN_MILLIS || storeMillis == UNKNOWN_MILLIS) {
+            return UNKNOWN_MILLIS;
         }
         double driftMillis = MAX_DRIFT * (nowMillis - observedAtMillis);
         return Math.min(nowMillis, (long) Math.floor(storeMillis + minOffsetMillis - driftMillis));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreEra.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreEra.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns the era to send to peers; {@link StorePosition#NO_ERA} if unknown. */
-    long toTell() {
+    long eraForPeers() {
         return Math.max(StorePosition.NO_ERA, latest);
     }
 
@@ -45,8 +45,8 @@
      *
      * @param sentEra the era that the peer sent, or {@link StorePosition#NO_ERA}
      */
-    long resolved(long sentEra) {
+    long resolveSentEra(long sentEra) {
         boolean notSent = sentEra == StorePosition.NO_ERA;
-        return notSent && latest == firstKnown ? toTell() : sentEra;
+        return notSent && latest == firstKnown ? eraForPeers() : sentEra;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the configuration and the endpoint list up to date with the store, as far as this router's {@link ReadingDuty}
+ * Keeps the configuration and the endpoint list up to date with the store, as far as this router's {@link StoreReadScope}
  * requires. Runs on the control thread.
  *
  * <p>The configuration is long-polled ({@link ConfigurationFollower}), and the endpoint list is read at a fixed
@@ -20,7 +20,7 @@
 final class StoreFollower {
     private static final Logger LOG = LoggerFactory.getLogger(StoreFollower.class);
 
-    /** Milliseconds between checks of this router's duty; a fraction of the time after which a list is stale. */
+    /** Milliseconds between checks of this router's read scope; a fraction of the time after which a list is stale. */
     private static final long DUTY_CHECK_INTERVAL_MILLIS = 150;
 
     private final ControlThread thread;
@@ -29,7 +29,7 @@
     private final DirectoryTracker directory;
     private final StoreClock storeClock;
     private final UnusableEntries unusable;
-    private final StoreReadings readings;
+    private final StoreReadMonitor readMonitor;
     private final Listener listener;
     private final ConfigurationFollower configurationFollower;
     private final EndpointListFollower endpointListFollower;
@@ -38,17 +38,17 @@
             ControlThread thread,
             MonotonicClock clock,
             ControlSource source,
-            FleetView fleet,
+            ControlState state,
             UnusableEntries unusable,
-            StoreReadings readings,
+            StoreReadMonitor readMonitor,
             Listener listener) {
         this.thread = thread;
         this.clock = clock;
-        this.configuration = fleet.configuration();
-        this.directory = fleet.directory();
-        this.storeClock = fleet.storeClock();
+        this.configuration = state.configuration();
+        this.directory = state.directory();
+        this.storeClock = state.storeClock();
         this.unusable = unusable;
-        this.readings = readings;
+        this.readMonitor = readMonitor;
         this.listener = listener;
         this.configurationFollower = new ConfigurationFollower(thread, clock, source, new ConfigurationListener());
         this.endpointListFollower = new EndpointListFollower(thread, clock, source, new EndpointListListener());
@@ -73,7 +73,7 @@
     }
 
     /** Tells whether the configuration and the endpoint list are known, or are being read from the store. */
-    boolean arriving() {
+    boolean knownOrReceiving() {
         boolean configurationArriving = configuration.version() >= 0 || configurationFollower.receiving();
         return configurationArriving && (directory.known() || !directory.lastReadFailed());
     }
@@ -97,24 +97,24 @@
         }
     }
 
-    private void applyEndpointList(DirectoryReading.Listed listed, long askedAtMillis) {
+    private void applyEndpointList(DirectoryReadResult.Listed listed, long askedAtMillis) {
         storeClock.observed(askedAtMillis, clock.millis(), listed.storeMillis());
         listener.eraRead(listed.position().era());
         if (directory.lastReadFailed()) {
             LOG.info("the store responds again", LogEvent.STORE_BACK.field());
             listener.storeBack();
         }
-        readings.read(
+        readMonitor.read(
                 directory.useOfRead(listed.position()),
                 listed.position(),
-                directory.reading().position());
-        if (directory.listed(listed, askedAtMillis)) {
+                directory.listVersion().position());
+        if (directory.applyOwnRead(listed, askedAtMillis)) {
             LOG.info(
                     "the endpoint list has changed: the store lists {} endpoints",
                     listed.endpoints().size(),
                     LogEvent.ENDPOINTS.field(),
                     kv("position", listed.position().toString()),
-                    kv("settled", directory.reading().settled()));
+                    kv("settled", directory.listVersion().settled()));
         }
         unusable.read(listed.unusable());
         listener.directoryRead();
@@ -124,12 +124,12 @@
     private final class ConfigurationListener implements ConfigurationFollower.Listener {
         @Override
         public boolean readsConfiguration() {
-            return listener.duty().readsConfiguration();
+            return listener.storeReadScope().readsConfiguration();
         }
 
         @Override
-        public void drainsRead(DrainReading reading) {
-            listener.drains(reading);
+        public void drainsRead(DrainReport report) {
+            listener.drains(report);
         }
 
         @Override
@@ -140,7 +140,7 @@
         @Override
         public void receivingChanged() {
             if (configuration.version() < 0) {
-                listener.arrivalChanged();
+                listener.receivingChanged();
             }
         }
     }
@@ -149,11 +149,11 @@
     private final class EndpointListListener implements EndpointListFollower.Listener {
         @Override
         public boolean readsList() {
-            return !directory.known() || listener.duty().readsDirectory();
+            return !directory.known() || listener.storeReadScope().readsDirectory();
         }
 
         @Override
-        public void listed(DirectoryReading.Listed listed, long askedAtMillis) {
+        public void listed(DirectoryReadResult.Listed listed, long askedAtMillis) {
             applyEndpointList(listed, askedAtMillis);
             configurationFollower.checkForNewer(listed.position());
         }
@@ -173,10 +173,10 @@
     /** Receives changes of what was read from the store; called on the control thread. */
     interface Listener {
         /** Called when the first configuration starts to arrive from the store, and when a request for it fails. */
-        void arrivalChanged();
+        void receivingChanged();
 
         /** Called with the data-centre drains that a response of the store reports. */
-        void drains(DrainReading reading);
+        void drains(DrainReport report);
 
         /** Called when a newer configuration is in force. */
         void configurationChanged();
@@ -191,6 +191,6 @@
         void eraRead(long era);
 
         /** Returns what this router currently has to read from the store. */
-        ReadingDuty duty();
+        StoreReadScope storeReadScope();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadings.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadMonitor.java
@@ -15,19 +15,19 @@
  * Logs and counts how reads of the endpoint list are used, which router's reads the list is based on, and restores of
  * the store. Confined to the control thread.
  */
-final class StoreReadings {
-    private static final Logger LOG = LoggerFactory.getLogger(StoreReadings.class);
+final class StoreReadMonitor {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreReadMonitor.class);
     private final MeterRegistry metrics;
     private final StoreEra era;
     private volatile long latestEra;
-    private String source = "";
+    private String listSourceObserved = "";
     private int ignoredReads;
 
-    StoreReadings(MeterRegistry metrics, StoreEra era) {
+    StoreReadMonitor(MeterRegistry metrics, StoreEra era) {
         this.metrics = metrics;
         this.era = era;
         this.latestEra = era.latest();
-        Gauge.builder("radishpass.store.era", this, readings -> readings.latestEra)
+        Gauge.builder("radishpass.store.era", this, monitor -> monitor.latestEra)
                 .description(
                         "how often the store has been restored from a snapshot, as far as known; -1 if that is not known")
                 .register(metrics);
@@ -40,7 +40,7 @@
      * @param origin the source of the report
      * @return whether the store was restored since this router last knew its era
      */
-    boolean eraTold(long reportedEra, String origin) {
+    boolean eraObserved(long reportedEra, String origin) {
         long eraBefore = era.latest();
         boolean restored = era.observed(reportedEra);
         latestEra = era.latest();
@@ -97,17 +97,17 @@
     }
 
     /** Records on which router's reads the endpoint list is currently based, and logs a change. */
-    void source(String current, ListReading reading) {
-        if (!Objects.equals(source, current)) {
+    void listSourceObserved(String current, EndpointListVersion version) {
+        if (!Objects.equals(listSourceObserved, current)) {
             LOG.info(
                     "the endpoint list is now read by {}, before by {}",
                     current,
-                    source,
+                    listSourceObserved,
                     LogEvent.LIST_SOURCE.field(),
                     kv("source", current),
-                    kv("position", reading.position().toString()),
-                    kv("settled", reading.settled()));
-            source = current;
+                    kv("position", version.position().toString()),
+                    kv("settled", version.settled()));
+            listSourceObserved = current;
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ReadingDuty.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadScope.java
@@ -1,7 +1,7 @@
 package org.radishpass.routing.control;
 
 /** What a router reads from the store, for itself and for other routers. */
-enum ReadingDuty {
+enum StoreReadScope {
     /** Reads nothing. Other routers read and report. */
     NONE,
     /** Waits at the store for newer configurations, so that the loss of one reader does not delay a configuration. */
@@ -13,12 +13,12 @@
     static final int CONFIGURATION_READERS = 3;
 
     /**
-     * Returns the duty of a router that gathers work in flight.
+     * Returns the read scope of a router that gathers work in flight.
      *
      * @param precedingReads whether a preceding router has recently read the store
      * @param preceding the number of preceding routers that gather
      */
-    static ReadingDuty of(boolean precedingReads, int preceding) {
+    static StoreReadScope of(boolean precedingReads, int preceding) {
         if (!precedingReads) {
             return ALL;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreRestore.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreRestoreHandler.java
@@ -6,20 +6,20 @@
  * Carries out the actions that a router takes once after each restore of the store from a snapshot. Confined to the
  * control thread.
  */
-final class StoreRestore {
-    private final StoreReadings readings;
+final class StoreRestoreHandler {
+    private final StoreReadMonitor readMonitor;
     private final StoreFollower follower;
     private final Registration registration;
     private final QuarantinePersistence quarantine;
     private final PeerExchange peers;
 
-    StoreRestore(
-            StoreReadings readings,
+    StoreRestoreHandler(
+            StoreReadMonitor readMonitor,
             StoreFollower follower,
             Registration registration,
             QuarantinePersistence quarantine,
             PeerExchange peers) {
-        this.readings = readings;
+        this.readMonitor = readMonitor;
         this.follower = follower;
         this.registration = registration;
         this.quarantine = quarantine;
@@ -33,13 +33,13 @@
      * @param era the reported era
      * @param origin the source of the report
      */
-    void eraTold(long era, String origin) {
-        if (!readings.eraTold(era, origin)) {
+    void eraObserved(long era, String origin) {
+        if (!readMonitor.eraObserved(era, origin)) {
             return;
         }
         Duration turn = peers.staggeredDelay(era);
         follower.storeRestored(turn);
-        registration.storeRestored(turn, peers::learn);
+        registration.storeRestored(turn, peers::addRouters);
         quarantine.storeRestored(turn);
         peers.reportNow();
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
@@ -44,7 +44,7 @@
     private final MonotonicClock clock;
     private final FleetRouter self;
     private final WorkSource work;
-    private final FleetView fleet;
+    private final ControlState controlState;
     private final PeerTable peers;
     private final PeerLinks links;
     private boolean gathering = true;
@@ -57,14 +57,14 @@
             MonotonicClock clock,
             FleetRouter self,
             WorkSource work,
-            FleetView fleet,
+            ControlState controlState,
             PeerTable peers,
             PeerLinks links) {
         this.thread = thread;
         this.clock = clock;
         this.self = self;
         this.work = work;
-        this.fleet = fleet;
+        this.controlState = controlState;
         this.peers = peers;
         this.links = links;
     }
@@ -183,20 +183,21 @@
     }
 
     private PeerMessage state(Map<String, InFlight> work, List<String> failing, WorkScope scope) {
-        DirectoryTracker directory = fleet.directory();
+        DirectoryTracker directory = controlState.directory();
         return new RoutingMessage.RoutingState(
-                fleet.configuration().version(),
-                directory.reading().position().revision(),
+                controlState.configuration().version(),
+                directory.listVersion().position().revision(),
                 RoutingMessageMapper.toEntries(work),
                 directory.hash(),
-                directory.reading().storeMillis(),
-                directory.reading().settled(),
+                directory.listVersion().storeMillis(),
+                directory.listVersion().settled(),
                 failing,
                 scope,
                 directory.ownReadStoreMillis(),
-                RoutingMessageMapper.toDrainEntries(fleet.drains(), clock.millis()),
-                directory.leavingToTell(),
-                Math.max(StorePosition.NO_ERA, directory.reading().position().era()),
-                fleet.era().toTell());
+                RoutingMessageMapper.toDrainEntries(controlState.drains(), clock.millis()),
+                directory.leavingToAnnounce(),
+                Math.max(
+                        StorePosition.NO_ERA, directory.listVersion().position().era()),
+                controlState.era().eraForPeers());
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
@@ -2,7 +2,7 @@
 
 /**
  * Identifies one run of an endpoint that may restart under the same name. Two incarnations of one name share no state:
- * all knowledge of the earlier incarnation is discarded. The store's readings tell which of two incarnations is the
+ * all knowledge of the earlier incarnation is discarded. Reads of the store tell which of two incarnations is the
  * later one. The start times do not, since wall clocks can jump.
  *
  * @param startedAtMillis the start time on the endpoint's own wall clock, in Unix milliseconds; negative if not stated
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/StorePosition.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/StorePosition.java
@@ -8,7 +8,7 @@
  * content nor an order.
  *
  * @param era the number of the era, which rises with each restoration; {@link #NO_ERA} if not stated
- * @param revision the revision of the store, which only rises within an era; -1 before the first reading
+ * @param revision the revision of the store, which only rises within an era; -1 before the first read
  * @since 0.7.0
  */
 public record StorePosition(long era, long revision) implements Comparable<StorePosition> {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
@@ -39,14 +39,15 @@
     @Test
     void coldPeriodOfAnEntryIsUsed() {
         read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500), endpoint("warm", "s"));
-        assertThat(cold.untilMillis(CONFIGURATION, 1_000)).containsExactly("e", 3_500L);
-        assertThat(cold.untilMillis(CONFIGURATION, 3_502)).isEmpty(); // the clocks drift apart by up to 0.5 ms in 2.5 s
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_000)).containsExactly("e", 3_500L);
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 3_502))
+                .isEmpty(); // the clocks drift apart by up to 0.5 ms in 2.5 s
     }
 
     @Test
     void endpointsOfServicesWithoutColdStartAreNeverCold() {
         read(1_000, endpoint("e", "plain").coldUntil(STORE_AHEAD_MILLIS + 3_500));
-        assertThat(cold.untilMillis(CONFIGURATION, 1_000)).isEmpty();
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_000)).isEmpty();
     }
 
     /**
@@ -58,7 +59,7 @@
         read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500));
         long hash = directory.hash();
         read(1_850, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 4_350));
-        assertThat(cold.untilMillis(CONFIGURATION, 1_850)).containsExactly("e", 3_500L);
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_850)).containsExactly("e", 3_500L);
         assertThat(directory.hash()).isEqualTo(hash);
     }
 
@@ -68,7 +69,7 @@
         read(5_000, endpoint("e", "s"));
         long warmHash = directory.hash();
         read(9_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 11_000));
-        assertThat(cold.untilMillis(CONFIGURATION, 9_000)).containsExactly("e", 11_000L);
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 9_000)).containsExactly("e", 11_000L);
         assertThat(directory.hash()).isNotEqualTo(warmHash);
     }
 
@@ -77,11 +78,11 @@
         read(1_000, endpoint("e", "s"));
         drains.offer(new DataCentreDrain(HERE, at(5), true), 1_000);
         drains.offer(new DataCentreDrain(HERE, at(6), false), 2_000);
-        assertThat(cold.untilMillis(CONFIGURATION, 2_000)).containsKey("e");
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 2_000)).containsKey("e");
         read(3_400, endpoint("e", "s"));
-        assertThat(cold.untilMillis(CONFIGURATION, 3_400)).containsKey("e");
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 3_400)).containsKey("e");
         read(2_000 + ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS, endpoint("e", "s"));
-        assertThat(cold.untilMillis(CONFIGURATION, 3_600)).isEmpty();
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 3_600)).isEmpty();
     }
 
     @Test
@@ -89,15 +90,15 @@
         read(1_000, endpoint("e", "s"));
         drains.offer(new DataCentreDrain(HERE, at(6), false), 2_000);
         long coldUntilMillis = 2_000 + ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS + COLD_MILLIS;
-        assertThat(cold.untilMillis(CONFIGURATION, 5_000)).isEqualTo(Map.of("e", coldUntilMillis));
-        assertThat(cold.untilMillis(CONFIGURATION, coldUntilMillis)).isEmpty();
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, 5_000)).isEqualTo(Map.of("e", coldUntilMillis));
+        assertThat(cold.coldUntilMillisById(CONFIGURATION, coldUntilMillis)).isEmpty();
     }
 
     @Test
     void coldEndIsSentToPeers() throws IOException {
         ServiceEndpoint coldEndpoint = endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500);
         EndpointSnapshot list =
-                new EndpointSnapshot(new ListReading(at(3), 51_000, true), List.of(coldEndpoint), Set.of());
+                new EndpointSnapshot(new EndpointListVersion(at(3), 51_000, true), List.of(coldEndpoint), Set.of());
         assertThat(EndpointListCodec.decode(EndpointListCodec.encode(list)).endpoints())
                 .containsExactly(coldEndpoint);
     }
@@ -105,8 +106,8 @@
     private void read(long nowMillis, ServiceEndpoint... endpoints) {
         long storeMillis = nowMillis + STORE_AHEAD_MILLIS;
         storeClock.observed(nowMillis, nowMillis, storeMillis);
-        directory.listed(
-                new DirectoryReading.Listed(at(++revision), storeMillis, Arrays.asList(endpoints), List.of()),
+        directory.applyOwnRead(
+                new DirectoryReadResult.Listed(at(++revision), storeMillis, Arrays.asList(endpoints), List.of()),
                 nowMillis);
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
@@ -150,7 +150,7 @@
     void lostHistoryCausesAFullRead() {
         startAndReadFull();
 
-        source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
+        source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
         scheduler.pass(ONE_MILLISECOND);
 
         assertThat(source.next().full).isTrue();
@@ -204,7 +204,7 @@
                 fullReads++;
                 respond(request, 7, "1");
             } else {
-                request.result.tryEmitValue(new ConfigurationReading.HistoryLost());
+                request.result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
                 scheduler.pass(ONE_MILLISECOND);
             }
         }
@@ -216,7 +216,7 @@
         startAndReadFull();
         Request longPoll = source.next();
         follower.checkForNewer(new StorePosition(2, 1));
-        source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
+        source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
         scheduler.pass(ONE_MILLISECOND);
         assertThat(longPoll.cancelled).isTrue();
         assertThat(source.next().full).isTrue();
@@ -252,7 +252,7 @@
 
     private void respond(Request request, StorePosition position, String content) {
         request.result.tryEmitValue(
-                new ConfigurationReading.Published(position, content.getBytes(StandardCharsets.UTF_8)));
+                new ConfigurationReadResult.Published(position, content.getBytes(StandardCharsets.UTF_8)));
         scheduler.pass(ONE_MILLISECOND);
     }
 
@@ -261,7 +261,7 @@
         private final boolean full;
         private final StorePosition after;
         private final LongConsumer responseStarted;
-        private final Sinks.One<ConfigurationReading> result = Sinks.one();
+        private final Sinks.One<ConfigurationReadResult> result = Sinks.one();
         private boolean cancelled;
 
         private Request(boolean full, StorePosition after, LongConsumer onResponseStart) {
@@ -270,7 +270,7 @@
             this.responseStarted = onResponseStart;
         }
 
-        private Mono<ConfigurationReading> response() {
+        private Mono<ConfigurationReadResult> response() {
             return result.asMono().doOnCancel(() -> cancelled = true);
         }
     }
@@ -283,35 +283,35 @@
             return requests.remove();
         }
 
-        private Mono<ConfigurationReading> send(boolean full, StorePosition after, LongConsumer onResponseStart) {
+        private Mono<ConfigurationReadResult> send(boolean full, StorePosition after, LongConsumer onResponseStart) {
             Request request = new Request(full, after, onResponseStart);
             requests.add(request);
             return request.response();
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer onResponseStart) {
+        public Mono<ConfigurationReadResult> configuration(LongConsumer onResponseStart) {
             return send(true, StorePosition.NONE, onResponseStart);
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(
+        public Mono<ConfigurationReadResult> configurationAfter(
                 StorePosition after, Duration wait, LongConsumer onResponseStart) {
             return send(false, after, onResponseStart);
         }
 
         @Override
-        public Mono<DirectoryReading> directory() {
+        public Mono<DirectoryReadResult> directory() {
             return Mono.never();
         }
 
         @Override
-        public Mono<RegistryReading> register(FleetRouter self) {
+        public Mono<RegistryReadResult> register(FleetRouter self) {
             return Mono.never();
         }
 
         @Override
-        public Mono<RegistryReading> registered() {
+        public Mono<RegistryReadResult> registered() {
             return Mono.never();
         }
 
@@ -321,7 +321,7 @@
         }
 
         @Override
-        public Mono<QuarantineReading> quarantined() {
+        public Mono<QuarantineReadResult> quarantined() {
             return Mono.never();
         }
 
@@ -349,7 +349,7 @@
         }
 
         @Override
-        public void drainsRead(DrainReading reading) {
+        public void drainsRead(DrainReport report) {
             // irrelevant to these tests
         }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationTrackerTest.java
@@ -32,12 +32,12 @@
     @Test
     void announcedNewerVersionIsExpectedUntilItIsInForce() {
         tracker.offer(document("7"));
-        assertThat(tracker.heardOf(7, 1_000)).isFalse();
+        assertThat(tracker.noteAnnouncedVersion(7, 1_000)).isFalse();
         assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(Long.MIN_VALUE);
-        assertThat(tracker.heardOf(9, 1_000)).isTrue();
+        assertThat(tracker.noteAnnouncedVersion(9, 1_000)).isTrue();
         long untilMillis = tracker.newerExpectedUntilMillis();
         assertThat(untilMillis).isGreaterThan(1_000);
-        assertThat(tracker.heardOf(9, 5_000)).isFalse();
+        assertThat(tracker.noteAnnouncedVersion(9, 5_000)).isFalse();
         assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(untilMillis);
         tracker.offer(document("8"));
         assertThat(tracker.newerExpectedUntilMillis()).isEqualTo(untilMillis);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -122,8 +122,8 @@
         void readStore() {
             long storeMillis = nowMillis - STORE_CLOCK_OFFSET_MILLIS;
             storeClock.observed(nowMillis, nowMillis, storeMillis);
-            tracker.listed(
-                    new DirectoryReading.Listed(
+            tracker.applyOwnRead(
+                    new DirectoryReadResult.Listed(
                             new StorePosition(era, revision),
                             storeMillis,
                             List.copyOf(registered.values()),
@@ -143,44 +143,46 @@
 
         /** Writes a message to the router's peers. */
         Message writeMessage() {
-            ListReading reading = tracker.reading();
+            EndpointListVersion version = tracker.listVersion();
             return new Message(
                     this,
                     new RoutingMessage.RoutingState(
                             1,
-                            reading.position().revision(),
+                            version.position().revision(),
                             List.of(),
                             tracker.hash(),
-                            reading.storeMillis(),
-                            reading.settled(),
+                            version.storeMillis(),
+                            version.settled(),
                             List.of(),
                             WorkScope.GROUP,
                             tracker.ownReadStoreMillis(),
                             List.of(),
-                            tracker.leavingToTell(),
-                            reading.position().era(),
-                            reading.position().era()));
+                            tracker.leavingToAnnounce(),
+                            version.position().era(),
+                            version.position().era()));
         }
 
         /** Receives a message, and the sender's list if that is newer. */
         void receive(Message message) {
-            peers.learn(List.of(message.sender().router), nowMillis);
+            peers.addOrMention(List.of(message.sender().router), nowMillis);
             Peer peer = peers.find(message.sender().router.id()).orElseThrow();
-            peer.recordState(message.state(), RoutingMessageMapper.toListReading(message.state(), storeEra), nowMillis);
+            peer.recordState(message.state(), RoutingMessageMapper.toListVersion(message.state(), storeEra), nowMillis);
             message.state().leaving().forEach(tracker::statedLeaving);
-            ListReading peerReading = peer.listReading();
+            EndpointListVersion peerVersion = peer.listVersion();
             if (message.state().directoryHash() == tracker.hash()) {
-                tracker.confirmed(peerReading, storeClock.earliest(peerReading.storeMillis(), nowMillis), peer.id());
+                tracker.confirmedByPeer(
+                        peerVersion, storeClock.earliestLocalMillis(peerVersion.storeMillis(), nowMillis), peer.id());
             } else {
                 EndpointSnapshot list = message.sender().tracker.snapshot();
-                long readAtMillis = storeClock.earliest(list.reading().storeMillis(), nowMillis);
-                tracker.peerListed(list, readAtMillis, peer.id());
+                long readAtMillis =
+                        storeClock.earliestLocalMillis(list.version().storeMillis(), nowMillis);
+                tracker.applyPeerList(list, readAtMillis, peer.id());
             }
         }
 
         /** Tells whether the router considers itself responsible for reading the store. */
         boolean mustReadStore() {
-            return readers.duty(true).readsDirectory();
+            return readers.storeReadScope(true).readsDirectory();
         }
 
         /** Returns the ids of the incarnations that may receive requests. */
@@ -197,7 +199,8 @@
 
         /** Applies a peer's list that may have been written earlier. */
         void receiveList(EndpointSnapshot list) {
-            tracker.peerListed(list, storeClock.earliest(list.reading().storeMillis(), nowMillis), "peer");
+            tracker.applyPeerList(
+                    list, storeClock.earliestLocalMillis(list.version().storeMillis(), nowMillis), "peer");
         }
 
         /** Tells whether an incarnation may receive requests. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
@@ -71,7 +71,7 @@
     void missingEndpointIsRetainedShortlyAfterARestore() {
         settle(List.of(endpoint("a"), endpoint("b")));
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000);
-        assertThat(tracker.reading().settled()).isFalse();
+        assertThat(tracker.listVersion().settled()).isFalse();
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
@@ -85,24 +85,24 @@
     void peersListOfALaterEraReplacesASettledList() {
         settle(List.of(endpoint("a"), endpoint("b")));
         EndpointSnapshot restored = new EndpointSnapshot(
-                new ListReading(new StorePosition(2, 3), 12_600, false),
+                new EndpointListVersion(new StorePosition(2, 3), 12_600, false),
                 List.of(endpoint("a").asLeaving()),
                 Set.of());
-        assertThat(tracker.peerListed(restored, 12_600, "peer")).isTrue();
+        assertThat(tracker.applyPeerList(restored, 12_600, "peer")).isTrue();
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
         assertThat(tracker.directory().open("orders")).containsExactly(endpoint("b"));
 
         EndpointSnapshot earlier =
-                new EndpointSnapshot(new ListReading(at(9), 12_700, true), List.of(endpoint("c")), Set.of());
-        assertThat(tracker.peerListed(earlier, 12_700, "peer")).isFalse();
+                new EndpointSnapshot(new EndpointListVersion(at(9), 12_700, true), List.of(endpoint("c")), Set.of());
+        assertThat(tracker.applyPeerList(earlier, 12_700, "peer")).isFalse();
     }
 
     /** Guards against removing missing endpoints at once because this router had relied on a peer until the restore. */
     @Test
     void routerThatStartsReadingAfterARestoreRetainsMissingEndpointsAsLongAsItsPeer() {
         listed(tracker, 5, List.of(endpoint("a"), endpoint("b")), 10_000);
-        tracker.confirmed(new ListReading(at(5), 12_500, true), 12_500, "peer");
-        tracker.confirmed(new ListReading(new StorePosition(2, 3), 13_000, false), 13_000, "peer");
+        tracker.confirmedByPeer(new EndpointListVersion(at(5), 12_500, true), 12_500, "peer");
+        tracker.confirmedByPeer(new EndpointListVersion(new StorePosition(2, 3), 13_000, false), 13_000, "peer");
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 14_000);
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
         listed(tracker, new StorePosition(2, 3), List.of(endpoint("a")), 13_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
@@ -124,13 +124,13 @@
         listed(other, 6, List.of(endpoint("b"), endpoint("a")), 10_700);
         assertThat(other.hash()).isEqualTo(tracker.hash());
 
-        tracker.confirmed(other.reading(), 10_700, "peer");
+        tracker.confirmedByPeer(other.listVersion(), 10_700, "peer");
         assertThat(tracker.readAtMillis()).isEqualTo(10_700);
-        tracker.confirmed(new ListReading(at(6), 11_000, false), 11_000, "peer");
+        tracker.confirmedByPeer(new EndpointListVersion(at(6), 11_000, false), 11_000, "peer");
         assertThat(tracker.readAtMillis()).isEqualTo(11_000);
-        tracker.confirmed(new ListReading(at(5), 10_900, false), 20_000, "peer");
+        tracker.confirmedByPeer(new EndpointListVersion(at(5), 10_900, false), 20_000, "peer");
         assertThat(tracker.readAtMillis()).isEqualTo(11_000);
-        other.gone("a");
+        other.addressTakenOver("a");
         assertThat(other.hash()).isNotEqualTo(tracker.hash());
     }
 
@@ -145,12 +145,12 @@
     @Test
     void listIsSettledOnceTheStoreWasReadForTheGracePeriod() {
         listed(tracker, 1, List.of(endpoint("a")), 10_000);
-        assertThat(tracker.reading().settled()).isFalse();
+        assertThat(tracker.listVersion().settled()).isFalse();
         listed(tracker, 1, List.of(endpoint("a")), 11_500);
         listed(tracker, 1, List.of(endpoint("a")), 10_000 + ReadContinuity.ABSENCE_GRACE_MILLIS);
-        assertThat(tracker.reading().settled()).isTrue();
+        assertThat(tracker.listVersion().settled()).isTrue();
         listed(tracker, 1, List.of(endpoint("a")), 20_000);
-        assertThat(tracker.reading().settled()).isFalse();
+        assertThat(tracker.listVersion().settled()).isFalse();
     }
 
     @Test
@@ -159,19 +159,19 @@
         listed(tracker, 6, List.of(endpoint("a")), 20_000);
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
         EndpointSnapshot settled =
-                new EndpointSnapshot(new ListReading(at(6), 20_100, true), List.of(endpoint("a")), Set.of());
-        assertThat(tracker.peerListed(settled, 20_100, "peer")).isTrue();
+                new EndpointSnapshot(new EndpointListVersion(at(6), 20_100, true), List.of(endpoint("a")), Set.of());
+        assertThat(tracker.applyPeerList(settled, 20_100, "peer")).isTrue();
         assertThat(tracker.directory().find("b").isPresent()).isFalse();
         EndpointSnapshot unsettled = new EndpointSnapshot(
-                new ListReading(at(7), 20_200, false), List.of(endpoint("a"), endpoint("b")), Set.of());
-        assertThat(tracker.peerListed(unsettled, 20_200, "peer")).isFalse();
+                new EndpointListVersion(at(7), 20_200, false), List.of(endpoint("a"), endpoint("b")), Set.of());
+        assertThat(tracker.applyPeerList(unsettled, 20_200, "peer")).isFalse();
     }
 
     @Test
     void endpointWhoseAddressWasTakenOverReceivesNoRequests() {
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
-        assertThat(tracker.gone("a")).isTrue();
-        assertThat(tracker.gone("a")).isFalse();
+        assertThat(tracker.addressTakenOver("a")).isTrue();
+        assertThat(tracker.addressTakenOver("a")).isFalse();
         listed(tracker, 6, List.of(endpoint("a")), 11_000);
         assertThat(tracker.directory().open("orders")).isEmpty();
     }
@@ -186,17 +186,19 @@
         for (long millis = 10_000; millis <= 12_500; millis += 500) {
             listed(tracker, 5, endpoints, millis);
         }
-        assertThat(tracker.reading().settled()).isTrue();
+        assertThat(tracker.listVersion().settled()).isTrue();
     }
 
     private static boolean listed(
             DirectoryTracker tracker, StorePosition position, List<ServiceEndpoint> endpoints, long nowMillis) {
-        return tracker.listed(new DirectoryReading.Listed(position, nowMillis, endpoints, List.of()), nowMillis);
+        return tracker.applyOwnRead(
+                new DirectoryReadResult.Listed(position, nowMillis, endpoints, List.of()), nowMillis);
     }
 
     private boolean peerListed(long revision, List<ServiceEndpoint> endpoints, long readAtMillis) {
-        ListReading reading = new ListReading(at(revision), revision == 5 ? 10_000 : readAtMillis, false);
-        return tracker.peerListed(new EndpointSnapshot(reading, endpoints, Set.of()), readAtMillis, "peer");
+        EndpointListVersion version =
+                new EndpointListVersion(at(revision), revision == 5 ? 10_000 : readAtMillis, false);
+        return tracker.applyPeerList(new EndpointSnapshot(version, endpoints, Set.of()), readAtMillis, "peer");
     }
 
     private static ServiceEndpoint endpoint(String id) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DocumentDistributionTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DocumentDistributionTest.java
@@ -38,7 +38,7 @@
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, 65, megabits);
         fleet.publish(1, bytes);
         fleet.startAll();
-        fleet.pass(SETTLING);
+        fleet.advance(SETTLING);
         long publishedAtMillis = fleet.scheduler().millis();
 
         fleet.publish(2, bytes);
@@ -56,7 +56,7 @@
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, 65, megabits);
         fleet.publish(1, 500_000);
         fleet.startAll();
-        fleet.pass(ConfigurationFollower.WAIT.plus(SETTLING));
+        fleet.advance(ConfigurationFollower.MAX_LONG_POLL_DURATION.plus(SETTLING));
         long publishedAtMillis = fleet.scheduler().millis();
 
         fleet.publish(2, 500_000);
@@ -75,13 +75,13 @@
         FROZEN {
             @Override
             void applyTo(VirtualFleet fleet, String router) {
-                Objects.requireNonNull(fleet.find(router)).frozen(true);
+                Objects.requireNonNull(fleet.find(router)).setFrozen(true);
             }
         },
         PARTITIONED {
             @Override
             void applyTo(VirtualFleet fleet, String router) {
-                fleet.network().cut(router, true);
+                fleet.network().setCutOff(router, true);
             }
         };
 
@@ -95,13 +95,13 @@
         String gatherer = "10.0.0.1:7640";
         fleet.publish(1, 500_000);
         fleet.startAll();
-        fleet.pass(ConfigurationFollower.WAIT.plus(SETTLING));
+        fleet.advance(ConfigurationFollower.MAX_LONG_POLL_DURATION.plus(SETTLING));
         long publishedAtMillis = fleet.scheduler().millis();
         fleet.publish(2, 500_000);
-        fleet.pass(Duration.ofMillis(300));
+        fleet.advance(Duration.ofMillis(300));
 
         failure.applyTo(fleet, gatherer);
-        fleet.pass(Duration.ofMillis(TIMEOUT_MILLIS));
+        fleet.advance(Duration.ofMillis(TIMEOUT_MILLIS));
 
         long lastMillis = fleet.routers().stream()
                 .filter(router -> !router.self().id().equals(gatherer))
@@ -118,14 +118,14 @@
         VirtualFleet fleet = new VirtualFleet(23, 3, 65, 14);
         fleet.publish(1, 500_000);
         fleet.startAll();
-        fleet.pass(ConfigurationFollower.WAIT.plus(SETTLING));
-        fleet.network().cut(router, true);
+        fleet.advance(ConfigurationFollower.MAX_LONG_POLL_DURATION.plus(SETTLING));
+        fleet.network().setCutOff(router, true);
         int versions = 6;
         for (int version = 2; version <= versions; version++) {
             fleet.publish(version, 500_000);
-            fleet.pass(Duration.ofMillis(800));
+            fleet.advance(Duration.ofMillis(800));
         }
-        fleet.network().cut(router, false);
+        fleet.network().setCutOff(router, false);
         long reconnectedAtMillis = fleet.scheduler().millis();
 
         assertThat(awaitInForce(fleet, versions) - reconnectedAtMillis).isAtMost(2_000);
@@ -137,11 +137,11 @@
         int bytes = 500_000;
         fleet.publish(1, bytes);
         fleet.startAll();
-        fleet.pass(SETTLING);
+        fleet.advance(SETTLING);
         int versions = 25;
         for (int version = 2; version <= versions; version++) {
             fleet.publish(version, bytes);
-            fleet.pass(Duration.ofMillis(80));
+            fleet.advance(Duration.ofMillis(80));
         }
         long publishedAtMillis = fleet.scheduler().millis() - 80;
 
@@ -155,7 +155,7 @@
         fleet.publish(1, 500_000);
         fleet.startAll();
 
-        fleet.pass(ALL_STARTED);
+        fleet.advance(ALL_STARTED);
         assertThat(awaitInForce(fleet, 1)).isAtMost(withinMillis);
         for (VirtualRouter router : fleet.routers()) {
             assertWithMessage(router.self().id()).that(router.serves()).isTrue();
@@ -166,7 +166,7 @@
     private static long awaitInForce(VirtualFleet fleet, long version) {
         long endMillis = fleet.scheduler().millis() + TIMEOUT_MILLIS;
         while (fleet.scheduler().millis() < endMillis && lastInForceMillis(fleet, version) == Long.MAX_VALUE) {
-            fleet.pass(POLL_INTERVAL);
+            fleet.advance(POLL_INTERVAL);
         }
         return lastInForceMillis(fleet, version);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainSpreadTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainSpreadTest.java
@@ -28,18 +28,18 @@
     void drainsAndTheirEndsReachAllRoutersInTime(int count) {
         VirtualFleet fleet = startFleet(count);
         // After this time only a few routers poll the store; the others are informed by peers.
-        fleet.pass(ConfigurationFollower.WAIT);
+        fleet.advance(ConfigurationFollower.MAX_LONG_POLL_DURATION);
 
         fleet.store().drain(FIRST, true);
-        fleet.pass(SPREAD_TIME);
+        fleet.advance(SPREAD_TIME);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
 
         fleet.store().drain(SECOND, true);
-        fleet.pass(SPREAD_TIME);
+        fleet.advance(SPREAD_TIME);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST, SECOND));
 
         fleet.store().drain(FIRST, false);
-        fleet.pass(SPREAD_TIME);
+        fleet.advance(SPREAD_TIME);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(SECOND));
     }
 
@@ -54,7 +54,7 @@
                         .toList());
 
         fleet.store().drain(FIRST, true);
-        fleet.pass(SPREAD_TIME_WITH_FAULTS);
+        fleet.advance(SPREAD_TIME_WITH_FAULTS);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
     }
 
@@ -63,14 +63,14 @@
         VirtualFleet fleet = startFleet(9);
         String disconnected = "10.1.0.2:7640";
         fleet.store().drain(FIRST, true);
-        fleet.pass(SPREAD_TIME);
-        fleet.network().cut(disconnected, true);
+        fleet.advance(SPREAD_TIME);
+        fleet.network().setCutOff(disconnected, true);
         fleet.store().drain(FIRST, false);
         fleet.store().drain(SECOND, true);
-        fleet.pass(Duration.ofSeconds(6));
+        fleet.advance(Duration.ofSeconds(6));
 
-        fleet.network().cut(disconnected, false);
-        fleet.pass(SPREAD_TIME_WITH_FAULTS);
+        fleet.network().setCutOff(disconnected, false);
+        fleet.advance(SPREAD_TIME_WITH_FAULTS);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(SECOND));
     }
 
@@ -82,11 +82,11 @@
     void endOfADrainIsKnownAfterARestartWithoutHistory() {
         VirtualFleet fleet = startFleet(9);
         fleet.store().drain(FIRST, true);
-        fleet.pass(SPREAD_TIME);
+        fleet.advance(SPREAD_TIME);
         fleet.store().drain(FIRST, false);
         fleet.store().forgetEndedDrains();
         fleet.restartAll();
-        fleet.pass(RESTART_TIME);
+        fleet.advance(RESTART_TIME);
         assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
@@ -94,9 +94,9 @@
     void drainJustBeforeAPowerLossIsInForceAfterTheRestart() {
         VirtualFleet fleet = startFleet(9);
         fleet.store().drain(FIRST, true);
-        fleet.pass(Duration.ofMillis(50));
+        fleet.advance(Duration.ofMillis(50));
         fleet.restartAll();
-        fleet.pass(RESTART_TIME);
+        fleet.advance(RESTART_TIME);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(FIRST));
     }
 
@@ -110,7 +110,7 @@
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(DISCOVERY_TIME);
+        fleet.advance(DISCOVERY_TIME);
         return fleet;
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DrainTrackerTest.java
@@ -34,7 +34,7 @@
     void drainThatACompleteReadDoesNotListHasEnded() {
         tracker.offer(drainAt(HERE, 5, true), 10);
         tracker.offer(drainAt(THERE, 9, true), 10);
-        boolean changed = tracker.read(new DrainReading(true, at(8), List.of()), 40);
+        boolean changed = tracker.apply(new DrainReport(true, at(8), List.of()), 40);
         assertThat(changed).isTrue();
         assertThat(tracker.drained()).containsExactly(THERE); // drained after the read
     }
@@ -42,7 +42,7 @@
     @Test
     void drainThatAReadOfChangesDoesNotListStays() {
         tracker.offer(drainAt(HERE, 5, true), 10);
-        assertThat(tracker.read(new DrainReading(false, at(8), List.of()), 40)).isFalse();
+        assertThat(tracker.apply(new DrainReport(false, at(8), List.of()), 40)).isFalse();
         assertThat(tracker.drained()).containsExactly(HERE);
     }
 
@@ -60,20 +60,20 @@
     @Test
     void drainThatASnapshotLacksStaysForTheGracePeriod() {
         tracker.offer(drainAt(HERE, 5, true), 10);
-        assertThat(tracker.read(new DrainReading(true, afterRestore(3), List.of()), 40))
+        assertThat(tracker.apply(new DrainReport(true, afterRestore(3), List.of()), 40))
                 .isFalse();
-        assertThat(tracker.awaitsRows()).isTrue();
+        assertThat(tracker.hasMissingRows()).isTrue();
         assertThat(tracker.expire(40 + DrainTracker.GRACE_MILLIS - 1)).isFalse();
         assertThat(tracker.drained()).containsExactly(HERE);
         assertThat(tracker.expire(40 + DrainTracker.GRACE_MILLIS)).isTrue();
         assertThat(tracker.drained()).isEmpty();
-        assertThat(tracker.awaitsRows()).isFalse();
+        assertThat(tracker.hasMissingRows()).isFalse();
     }
 
     @Test
     void drainThatASnapshotLacksAndIsWrittenAgainStays() {
         tracker.offer(drainAt(HERE, 5, true), 10);
-        tracker.read(new DrainReading(true, afterRestore(3), List.of()), 40);
+        tracker.apply(new DrainReport(true, afterRestore(3), List.of()), 40);
         tracker.offer(new DataCentreDrain(HERE, afterRestore(4), true), 50);
         assertThat(tracker.expire(40 + DrainTracker.GRACE_MILLIS)).isFalse();
         assertThat(tracker.drained()).containsExactly(HERE);
@@ -85,11 +85,11 @@
         tracker.offer(drainAt(HERE, 5, true), 10);
         tracker.offer(drainAt(HERE, 7, false), 20);
         DataCentreDrain snapshotRow = new DataCentreDrain(HERE, afterRestore(5), true);
-        tracker.read(new DrainReading(true, afterRestore(6), List.of(snapshotRow)), 30);
+        tracker.apply(new DrainReport(true, afterRestore(6), List.of(snapshotRow)), 30);
         assertThat(tracker.drained()).isEmpty();
 
         DrainTracker startedAfterRestore = new DrainTracker();
-        startedAfterRestore.read(new DrainReading(true, afterRestore(6), List.of(snapshotRow)), 30);
+        startedAfterRestore.apply(new DrainReport(true, afterRestore(6), List.of(snapshotRow)), 30);
         tracker.changes().forEach(change -> startedAfterRestore.offer(change.drain(), 40));
         assertThat(startedAfterRestore.drained()).isEmpty();
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/GatheringPlanTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/GatheringPlanTest.java
@@ -53,7 +53,7 @@
     @Test
     void aPeerThatActsAsGathererIsReportedTo() {
         List<Peer> peers = peers(0, 27, 28, LARGE_FLEET);
-        find(peers, 4).recordState(state(WorkScope.GROUP), ListReading.NONE, NOW);
+        find(peers, 4).recordState(state(WorkScope.GROUP), EndpointListVersion.NONE, NOW);
         GatheringPlan plan = GatheringPlan.of(router(27), peers, NOW);
         assertThat(ids(plan.peerGatherers()))
                 .containsExactly(router(4).id(), router(29).id());
@@ -76,7 +76,7 @@
         peer.expectReply(1_000);
         assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS)).isFalse();
         assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS + 1)).isTrue();
-        peer.recordState(state(WorkScope.GROUP), ListReading.NONE, Peer.REPLY_TIMEOUT_MILLIS + 1);
+        peer.recordState(state(WorkScope.GROUP), EndpointListVersion.NONE, Peer.REPLY_TIMEOUT_MILLIS + 1);
         assertThat(peer.replyOverdue(Peer.REPLY_TIMEOUT_MILLIS + 1)).isFalse();
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/IdleFleetTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/IdleFleetTest.java
@@ -25,11 +25,11 @@
         VirtualFleet fleet = new VirtualFleet(routers, dataCentres, endpoints, MEGABITS);
         fleet.publish(1, 20_000);
         fleet.startAll();
-        fleet.pass(WARM_UP);
+        fleet.advance(WARM_UP);
         int droppedBefore = dropped(fleet);
         int dialledBefore = dialled(fleet);
 
-        fleet.pass(OBSERVED);
+        fleet.advance(OBSERVED);
 
         assertThat(dropped(fleet) - droppedBefore).isEqualTo(0);
         assertThat(dialled(fleet) - dialledBefore).isEqualTo(0);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/LeavingStatedInResponseTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/LeavingStatedInResponseTest.java
@@ -134,7 +134,7 @@
         VirtualFleet fleet = startFleet(count);
         refuseAllRouters(fleet);
         List.copyOf(fleet.routers()).get(count - 1).answeredLeaving(LEAVING_ENDPOINT);
-        fleet.pass(SPREAD_TIME);
+        fleet.advance(SPREAD_TIME);
         assertThat(countSendingRouters(fleet)).isEqualTo(0);
     }
 
@@ -143,14 +143,14 @@
     void restartedOrReconnectedRouterLearnsOfLeavingEndpointsFromAPeer(int count) {
         VirtualFleet fleet = startFleet(count);
         String disconnected = List.copyOf(fleet.routers()).get(2).self().id();
-        fleet.network().cut(disconnected, true);
+        fleet.network().setCutOff(disconnected, true);
         List.copyOf(fleet.routers()).get(1).answeredLeaving(LEAVING_ENDPOINT);
-        fleet.pass(Duration.ofSeconds(6));
+        fleet.advance(Duration.ofSeconds(6));
         assertThat(countSendingRouters(fleet)).isEqualTo(1);
 
-        fleet.network().cut(disconnected, false);
+        fleet.network().setCutOff(disconnected, false);
         fleet.restart(count - 1);
-        fleet.pass(RESTART_TIME);
+        fleet.advance(RESTART_TIME);
         assertThat(countSendingRouters(fleet)).isEqualTo(0);
     }
 
@@ -158,7 +158,7 @@
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(DISCOVERY_TIME);
+        fleet.advance(DISCOVERY_TIME);
         assertThat(countSendingRouters(fleet)).isEqualTo(count);
         return fleet;
     }
@@ -168,7 +168,7 @@
                 .refuseRouters(fleet.routers().stream()
                         .map(router -> router.self().id())
                         .toList());
-        fleet.pass(Duration.ofSeconds(3));
+        fleet.advance(Duration.ofSeconds(3));
     }
 
     private static long countSendingRouters(VirtualFleet fleet) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/RegistryCleanerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/RegistryCleanerTest.java
@@ -37,8 +37,8 @@
     @Test
     void aRouterExpiresOnlyWhenNotMentionedForTheWholePeriod() {
         PeerTable peers = new PeerTable(SELF);
-        peers.learn(List.of(GONE, ALIVE), 0);
-        peers.learn(List.of(ALIVE), 1);
+        peers.addOrMention(List.of(GONE, ALIVE), 0);
+        peers.addOrMention(List.of(ALIVE), 1);
         assertThat(peers.removeExpired(PeerTable.EXPIRY_MILLIS)).isEmpty();
         assertThat(peers.removeExpired(PeerTable.EXPIRY_MILLIS + 1)).containsExactly(GONE);
         assertThat(peers.routerCount()).isEqualTo(2);
@@ -46,8 +46,8 @@
 
     private static List<FleetRouter> routers(FakeStore.Link link) {
         return link.registered()
-                .ofType(RegistryReading.Registered.class)
-                .map(RegistryReading.Registered::routers)
+                .ofType(RegistryReadResult.Registered.class)
+                .map(RegistryReadResult.Registered::routers)
                 .blockOptional()
                 .orElseThrow();
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreClockTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreClockTest.java
@@ -16,9 +16,9 @@
 
     @Test
     void timeIsUnknownBeforeTheFirstResponse() {
-        assertThat(clock.earliest(5, 100)).isEqualTo(StoreClock.NEVER);
+        assertThat(clock.earliestLocalMillis(5, 100)).isEqualTo(StoreClock.UNKNOWN_MILLIS);
         clock.observed(100, 108, 104 - OFFSET_MILLIS);
-        assertThat(clock.earliest(StoreClock.NEVER, 200)).isEqualTo(StoreClock.NEVER);
+        assertThat(clock.earliestLocalMillis(StoreClock.UNKNOWN_MILLIS, 200)).isEqualTo(StoreClock.UNKNOWN_MILLIS);
     }
 
     @Test
@@ -33,27 +33,29 @@
                     nowMillis, nowMillis + requestMillis + responseMillis, nowMillis + requestMillis - OFFSET_MILLIS);
             nowMillis += requestMillis + responseMillis;
             long momentMillis = nowMillis - random.nextInt(5_000);
-            assertThat(clock.earliest(momentMillis - OFFSET_MILLIS, nowMillis)).isAtMost(momentMillis);
+            assertThat(clock.earliestLocalMillis(momentMillis - OFFSET_MILLIS, nowMillis))
+                    .isAtMost(momentMillis);
         }
-        assertThat(clock.earliest(nowMillis - OFFSET_MILLIS, nowMillis)).isAtLeast(nowMillis - 50);
+        assertThat(clock.earliestLocalMillis(nowMillis - OFFSET_MILLIS, nowMillis))
+                .isAtLeast(nowMillis - 50);
     }
 
     @Test
     void earliestTimeIsNotInTheFuture() {
         clock.observed(100, 100, 100 - OFFSET_MILLIS);
-        assertThat(clock.earliest(900 - OFFSET_MILLIS, 200)).isEqualTo(200);
+        assertThat(clock.earliestLocalMillis(900 - OFFSET_MILLIS, 200)).isEqualTo(200);
     }
 
     @Test
     void offsetIsReplacedAfterAJumpOfTheStoreClock() {
         clock.observed(1_000, 1_004, 1_002 - OFFSET_MILLIS);
         clock.observed(2_000, 2_004, 2);
-        assertThat(clock.earliest(2, 2_004)).isEqualTo(2_000);
+        assertThat(clock.earliestLocalMillis(2, 2_004)).isEqualTo(2_000);
     }
 
     @Test
     void earliestTimeAccountsForClockDrift() {
         clock.observed(0, 0, 0);
-        assertThat(clock.earliest(1_000_000, 1_000_000)).isEqualTo(999_800);
+        assertThat(clock.earliestLocalMillis(1_000_000, 1_000_000)).isEqualTo(999_800);
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreEraTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreEraTest.java
@@ -26,8 +26,8 @@
     @Test
     void missingEraMeansTheCurrentOneWhileNoRestoreWasSeen() {
         era.observed(4);
-        assertThat(era.resolved(StorePosition.NO_ERA)).isEqualTo(4);
-        assertThat(era.resolved(3)).isEqualTo(3);
+        assertThat(era.resolveSentEra(StorePosition.NO_ERA)).isEqualTo(4);
+        assertThat(era.resolveSentEra(3)).isEqualTo(3);
     }
 
     /** Guards against accepting a list from before a restore that a router of an earlier release still announces. */
@@ -35,17 +35,17 @@
     void missingEraIsOlderThanAnyEraAfterARestore() {
         era.observed(4);
         era.observed(5);
-        ListReading peerReading =
-                new ListReading(new StorePosition(StorePosition.NO_ERA, 900), 9_000, true).resolved(era);
-        ListReading ownReading = new ListReading(new StorePosition(5, 3), 1_000, false);
-        assertThat(peerReading.supersedes(ownReading)).isFalse();
-        assertThat(ownReading.supersedes(peerReading)).isTrue();
+        EndpointListVersion peerVersion =
+                new EndpointListVersion(new StorePosition(StorePosition.NO_ERA, 900), 9_000, true).withResolvedEra(era);
+        EndpointListVersion ownVersion = new EndpointListVersion(new StorePosition(5, 3), 1_000, false);
+        assertThat(peerVersion.supersedes(ownVersion)).isFalse();
+        assertThat(ownVersion.supersedes(peerVersion)).isTrue();
     }
 
     @Test
     void routerWithoutAListSupersedesNoList() {
-        ListReading none = new ListReading(new StorePosition(5, -1), StoreClock.NEVER, false);
-        assertThat(none.supersedes(new ListReading(new StorePosition(4, 3), 1_000, false)))
+        EndpointListVersion none = new EndpointListVersion(new StorePosition(5, -1), StoreClock.UNKNOWN_MILLIS, false);
+        assertThat(none.supersedes(new EndpointListVersion(new StorePosition(4, 3), 1_000, false)))
                 .isFalse();
     }
 
@@ -56,10 +56,10 @@
     @Test
     void listsOfEarlierAndLaterReleasesAreDecoded() throws IOException {
         byte[] earlierRelease = new MessagePackMapper().writeValueAsBytes(List.of(7, 9, true, List.of(), List.of()));
-        assertThat(EndpointListCodec.decode(earlierRelease).reading().position())
+        assertThat(EndpointListCodec.decode(earlierRelease).version().position())
                 .isEqualTo(new StorePosition(StorePosition.NO_ERA, 7));
         byte[] laterRelease =
                 new MessagePackMapper().writeValueAsBytes(List.of(7, 9, true, List.of(), List.of(), 3, "more"));
-        assertThat(EndpointListCodec.decode(laterRelease).reading().position()).isEqualTo(new StorePosition(3, 7));
+        assertThat(EndpointListCodec.decode(laterRelease).version().position()).isEqualTo(new StorePosition(3, 7));
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/StoreRestoreTest.java
@@ -87,7 +87,7 @@
         fleet.publish(3, 2_000);
         fleet.store().writeUnrelatedRows(2 * LOST_REVISIONS);
         fleet.store().setDown(false);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(3L);
     }
 
@@ -99,10 +99,10 @@
         fleet.publish(1, 2_000);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.startAll();
-        fleet.pass(DISCOVERY_TIME);
+        fleet.advance(DISCOVERY_TIME);
         fleet.store().restore(snapshot);
         assertThat(countRegistered(fleet)).isEqualTo(0);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         assertThat(countRegistered(fleet)).isEqualTo(count);
     }
 
@@ -118,21 +118,21 @@
         for (int crash = 1; crash <= 3; crash++) {
             first.suspects().endedUnder(CRASHING_REQUEST, crash);
             first.suspects().endedUnder(CLEARED_REQUEST, 10 + crash);
-            fleet.pass(Duration.ofMillis(500));
+            fleet.advance(Duration.ofMillis(500));
         }
         assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isTrue();
         VirtualStore.Snapshot snapshotWithBoth = fleet.store().snapshot();
         List.copyOf(fleet.routers()).get(4).suspects().answered(CLEARED_REQUEST);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
 
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         assertThat(fleet.store().quarantines(CRASHING_REQUEST)).isTrue();
         assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
 
         fleet.store().restore(snapshotWithBoth);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         assertThat(fleet.store().quarantines(CRASHING_REQUEST)).isTrue();
         assertThat(fleet.store().quarantines(CLEARED_REQUEST)).isFalse();
     }
@@ -146,7 +146,7 @@
         VirtualFleet fleet = startFleet(2);
         loseChangesAndRestore(fleet);
         fleet.restart(1);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(2L);
     }
 
@@ -155,17 +155,17 @@
         VirtualFleet fleet = startFleet(9);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.store().drain(DRAINED_DATA_CENTRE, true);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         fleet.store().restore(snapshot);
         for (int check = 0; check < 4; check++) {
-            fleet.pass(Duration.ofMillis(500));
+            fleet.advance(Duration.ofMillis(500));
             assertThat(drainedSets(fleet)).containsExactly(Set.of(DRAINED_DATA_CENTRE));
         }
         fleet.store().drain(DRAINED_DATA_CENTRE, true);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         assertThat(drainedSets(fleet)).containsExactly(Set.of(DRAINED_DATA_CENTRE));
         fleet.store().drain(DRAINED_DATA_CENTRE, false);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
@@ -174,9 +174,9 @@
         VirtualFleet fleet = startFleet(9);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.store().drain(DRAINED_DATA_CENTRE, true);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE_PERIOD.plus(CONFIGURATION_BOUND));
+        fleet.advance(STABLE_PERIOD.plus(CONFIGURATION_BOUND));
         assertThat(drainedSets(fleet)).containsExactly(Set.of());
     }
 
@@ -188,18 +188,18 @@
         VirtualStore.Snapshot snapshot = writeLostChangesAndStopStore(fleet);
         fleet.store().restore(snapshot);
         fleet.store().setDown(false);
-        fleet.pass(Duration.ofMillis(700));
-        fleet.network().cut(reader, true);
+        fleet.advance(Duration.ofMillis(700));
+        fleet.network().setCutOff(reader, true);
         fleet.store().restore(snapshot);
-        fleet.pass(Duration.ofMillis(400));
+        fleet.advance(Duration.ofMillis(400));
         fleet.restart(4);
         fleet.store().restore(snapshot);
-        fleet.pass(Duration.ofMillis(900));
-        fleet.network().cut(reader, false);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(Duration.ofMillis(900));
+        fleet.network().setCutOff(reader, false);
+        fleet.advance(STABLE_PERIOD);
         removeAndMarkLeaving(fleet);
         fleet.publish(3, 2_000);
-        fleet.pass(LEAVING_BOUND);
+        fleet.advance(LEAVING_BOUND);
         assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(0);
         assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(0);
         assertThat(versions(fleet)).containsExactly(3L);
@@ -210,14 +210,14 @@
         VirtualFleet fleet = new VirtualFleet(9, 3, 20, SLOW_LINK_MEGABITS);
         fleet.publish(1, LARGE_BYTES);
         fleet.startAll();
-        fleet.pass(DISCOVERY_TIME);
+        fleet.advance(DISCOVERY_TIME);
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.store().writeUnrelatedRows(LOST_REVISIONS);
-        fleet.pass(LOST_PERIOD);
+        fleet.advance(LOST_PERIOD);
         fleet.store().restore(snapshot);
-        fleet.pass(STABLE_PERIOD);
+        fleet.advance(STABLE_PERIOD);
         fleet.publish(2, LARGE_BYTES);
-        fleet.pass(CONFIGURATION_BOUND);
+        fleet.advance(CONFIGURATION_BOUND);
         assertThat(versions(fleet)).containsExactly(2L);
     }
 
@@ -235,7 +235,7 @@
         List<Integer> calls = new ArrayList<>();
         for (int second = 0; second < time.toSeconds(); second++) {
             int before = fleet.store().calls();
-            fleet.pass(Duration.ofSeconds(1));
+            fleet.advance(Duration.ofSeconds(1));
             calls.add(fleet.store().calls() - before);
         }
         return calls;
@@ -245,7 +245,7 @@
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(DISCOVERY_TIME);
+        fleet.advance(DISCOVERY_TIME);
         assertThat(countSendingRouters(fleet, REMOVED_ENDPOINT)).isEqualTo(count);
         assertThat(countSendingRouters(fleet, LEAVING_ENDPOINT)).isEqualTo(count);
         return fleet;
@@ -265,10 +265,10 @@
         VirtualStore.Snapshot snapshot = fleet.store().snapshot();
         fleet.store().writeUnrelatedRows(LOST_REVISIONS);
         fleet.publish(2, 2_000);
-        fleet.pass(LOST_PERIOD);
+        fleet.advance(LOST_PERIOD);
         assertThat(versions(fleet)).containsExactly(2L);
         fleet.store().setDown(true);
-        fleet.pass(STORE_DOWNTIME);
+        fleet.advance(STORE_DOWNTIME);
         return snapshot;
     }
 
@@ -277,7 +277,7 @@
                 .filter(endpoint -> !endpoint.id().equals(REMOVED_ENDPOINT))
                 .map(endpoint -> endpoint.id().equals(LEAVING_ENDPOINT) ? endpoint.asLeaving() : endpoint)
                 .toList();
-        fleet.store().list(remaining);
+        fleet.store().listEndpoints(remaining);
     }
 
     private static List<Long> versions(VirtualFleet fleet) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
@@ -32,13 +32,13 @@
         VirtualFleet fleet = started(count);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(count - 1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         routers.get(count / 2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
 
         routers.get(0).suspects().answered(REQUEST);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
     }
 
@@ -48,12 +48,12 @@
         VirtualFleet fleet = started(count);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(RESEND_INTERVAL);
+        fleet.advance(RESEND_INTERVAL);
         routers.get(2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
 
         fleet.restart(count - 1);
-        fleet.pass(Duration.ofSeconds(2));
+        fleet.advance(Duration.ofSeconds(2));
         assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
     }
 
@@ -63,17 +63,17 @@
         VirtualFleet fleet = started(9);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(RESEND_INTERVAL);
+        fleet.advance(RESEND_INTERVAL);
         routers.get(2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
 
         List.copyOf(fleet.routers()).get(4).suspects().answered(REQUEST);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
     }
 
@@ -81,7 +81,7 @@
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(WARM_UP);
+        fleet.advance(WARM_UP);
         return fleet;
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
@@ -59,7 +59,7 @@
                     6,
                     false));
         }
-        store.list(listed);
+        store.listEndpoints(listed);
     }
 
     /** Starts all routers within a quarter of a second. */
@@ -102,7 +102,7 @@
     }
 
     /** Advances the virtual time. */
-    void pass(Duration time) {
+    void advance(Duration time) {
         scheduler.pass(time);
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualNetwork.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualNetwork.java
@@ -48,7 +48,7 @@
     }
 
     /** Cuts a machine off, or reconnects it. Data in flight is delivered after the reconnection. */
-    void cut(String machine, boolean cut) {
+    void setCutOff(String machine, boolean cut) {
         pipe(outgoing, machine).cut(cut);
         pipe(incoming, machine).cut(cut);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
@@ -122,7 +122,7 @@
     }
 
     /** Freezes the process of this router, or lets the process continue. */
-    void frozen(boolean frozen) {
+    void setFrozen(boolean frozen) {
         process.frozen(frozen);
     }
 
@@ -268,7 +268,7 @@
                             .subscribe(answer -> inbound.send(
                                     bytes(new Envelope(-1, answer)),
                                     transfer::received,
-                                    () -> transfer.whole(answer)))));
+                                    () -> transfer.complete(answer)))));
             return transfer.result().doOnError(error -> close());
         }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualStore.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualStore.java
@@ -152,7 +152,7 @@
     }
 
     /** Replaces the listed endpoints. */
-    void list(List<ServiceEndpoint> newEndpoints) {
+    void listEndpoints(List<ServiceEndpoint> newEndpoints) {
         revision++;
         endpoints = List.copyOf(newEndpoints);
     }
@@ -225,26 +225,26 @@
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer onResponseStart) {
-            return respond(() -> versions.isEmpty() ? 0 : newest().bytes(), () -> reading(-1), onResponseStart)
-                    .onErrorResume(error -> Mono.just(new ConfigurationReading.Unavailable(error.toString())));
+        public Mono<ConfigurationReadResult> configuration(LongConsumer onResponseStart) {
+            return respond(() -> versions.isEmpty() ? 0 : newest().bytes(), () -> readResult(-1), onResponseStart)
+                    .onErrorResume(error -> Mono.just(new ConfigurationReadResult.Unavailable(error.toString())));
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(
+        public Mono<ConfigurationReadResult> configurationAfter(
                 StorePosition afterPosition, Duration wait, LongConsumer onResponseStart) {
             if (afterPosition.era() != latestEra) {
-                return Mono.just(new ConfigurationReading.HistoryLost());
+                return Mono.just(new ConfigurationReadResult.HistoryLost());
             }
             long afterRevision = afterPosition.revision();
             return awaitChange(afterRevision, wait)
                     .then(respond(
                             () -> bytesAfter(afterRevision),
                             () -> afterPosition.era() == era
-                                    ? reading(afterRevision)
-                                    : new ConfigurationReading.HistoryLost(),
+                                    ? readResult(afterRevision)
+                                    : new ConfigurationReadResult.HistoryLost(),
                             onResponseStart))
-                    .onErrorResume(error -> Mono.just(new ConfigurationReading.Unavailable(error.toString())));
+                    .onErrorResume(error -> Mono.just(new ConfigurationReadResult.Unavailable(error.toString())));
         }
 
         private Mono<Void> awaitChange(long afterRevision, Duration wait) {
@@ -262,26 +262,26 @@
         }
 
         @Override
-        public Mono<DirectoryReading> directory() {
-            return respond(() -> ENDPOINT_BYTES * endpoints.size(), () -> (DirectoryReading)
-                            new DirectoryReading.Listed(position(), scheduler.millis(), endpoints, List.of()))
-                    .onErrorResume(error -> Mono.just(new DirectoryReading.Unavailable(error.toString())));
+        public Mono<DirectoryReadResult> directory() {
+            return respond(() -> ENDPOINT_BYTES * endpoints.size(), () -> (DirectoryReadResult)
+                            new DirectoryReadResult.Listed(position(), scheduler.millis(), endpoints, List.of()))
+                    .onErrorResume(error -> Mono.just(new DirectoryReadResult.Unavailable(error.toString())));
         }
 
         @Override
-        public Mono<RegistryReading> register(FleetRouter self) {
+        public Mono<RegistryReadResult> register(FleetRouter self) {
             return respond(() -> ROUTER_BYTES * routers.size(), () -> {
                         revision++;
                         routers.put(self.id(), self);
                         return registry(revision);
                     })
-                    .onErrorResume(error -> Mono.just(new RegistryReading.Unavailable(error.toString())));
+                    .onErrorResume(error -> Mono.just(new RegistryReadResult.Unavailable(error.toString())));
         }
 
         @Override
-        public Mono<RegistryReading> registered() {
+        public Mono<RegistryReadResult> registered() {
             return respond(() -> ROUTER_BYTES * routers.size(), () -> registry(-1))
-                    .onErrorResume(error -> Mono.just(new RegistryReading.Unavailable(error.toString())));
+                    .onErrorResume(error -> Mono.just(new RegistryReadResult.Unavailable(error.toString())));
         }
 
         @Override
@@ -291,10 +291,10 @@
         }
 
         @Override
-        public Mono<QuarantineReading> quarantined() {
+        public Mono<QuarantineReadResult> quarantined() {
             return respond(() -> QUARANTINED_BYTES * quarantined.size(), () ->
-                            (QuarantineReading) new QuarantineReading.Listed(List.copyOf(quarantined.values())))
-                    .onErrorResume(error -> Mono.just(new QuarantineReading.Unavailable(error.toString())));
+                            (QuarantineReadResult) new QuarantineReadResult.Listed(List.copyOf(quarantined.values())))
+                    .onErrorResume(error -> Mono.just(new QuarantineReadResult.Unavailable(error.toString())));
         }
 
         @Override
@@ -346,7 +346,7 @@
                         onResponseStart.accept(bytes);
                         transfer.received(count);
                     },
-                    () -> transfer.whole(value));
+                    () -> transfer.complete(value));
         }
     }
 
@@ -358,20 +358,20 @@
         return versions.get(versions.size() - 1);
     }
 
-    private ConfigurationReading reading(long afterRevision) {
+    private ConfigurationReadResult readResult(long afterRevision) {
         if (afterRevision > revision) {
-            return new ConfigurationReading.HistoryLost();
+            return new ConfigurationReadResult.HistoryLost();
         }
         if (versions.isEmpty() || newest().revision() <= afterRevision) {
-            return new ConfigurationReading.Unchanged(position(), drainsAfter(afterRevision));
+            return new ConfigurationReadResult.Unchanged(position(), drainsAfter(afterRevision));
         }
-        return new ConfigurationReading.Published(position(), newest().content(), drainsAfter(afterRevision));
+        return new ConfigurationReadResult.Published(position(), newest().content(), drainsAfter(afterRevision));
     }
 
     /** Returns all drains in effect if the position is negative, and the changes since the position otherwise. */
-    private DrainReading drainsAfter(long afterRevision) {
+    private DrainReport drainsAfter(long afterRevision) {
         boolean whole = afterRevision < 0;
-        return new DrainReading(
+        return new DrainReport(
                 whole,
                 position(),
                 drains.values().stream()
@@ -380,11 +380,11 @@
                         .toList());
     }
 
-    private RegistryReading registry(long registeredRevision) {
-        return new RegistryReading.Registered(
+    private RegistryReadResult registry(long registeredRevision) {
+        return new RegistryReadResult.Registered(
                 routers.values().stream()
                         .map(router ->
-                                new RegistryReading.Registration(router, new StorePosition(era, registeredRevision)))
+                                new RegistryReadResult.Registration(router, new StorePosition(era, registeredRevision)))
                         .toList(),
                 new StorePosition(era, registeredRevision));
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
@@ -31,7 +31,7 @@
     }
 
     /** Completes the transfer. */
-    void whole(T value) {
+    void complete(T value) {
         if (!finished) {
             finished = true;
             result.tryEmitValue(value);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeStore.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeStore.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongConsumer;
 import org.radishpass.core.fleet.Address;
-import org.radishpass.routing.control.ConfigurationReading;
+import org.radishpass.routing.control.ConfigurationReadResult;
 import org.radishpass.routing.control.ControlSource;
-import org.radishpass.routing.control.DirectoryReading;
-import org.radishpass.routing.control.QuarantineReading;
-import org.radishpass.routing.control.RegistryReading;
+import org.radishpass.routing.control.DirectoryReadResult;
+import org.radishpass.routing.control.QuarantineReadResult;
+import org.radishpass.routing.control.RegistryReadResult;
 import org.radishpass.routing.fleet.FleetRouter;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.fleet.StorePosition;
@@ -77,12 +77,13 @@
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer begun) {
-            return Mono.fromSupplier(this::reading);
+        public Mono<ConfigurationReadResult> configuration(LongConsumer begun) {
+            return Mono.fromSupplier(this::readResult);
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(StorePosition after, Duration wait, LongConsumer begun) {
+        public Mono<ConfigurationReadResult> configurationAfter(
+                StorePosition after, Duration wait, LongConsumer begun) {
             if (!wait.isZero()) {
                 waits.incrementAndGet();
                 if (silentWaits) {
@@ -91,23 +92,23 @@
             }
             return Mono.delay(wait.isZero() ? Duration.ZERO : PAUSE)
                     .map(tick -> revision.get() > after.revision()
-                            ? reading()
-                            : new ConfigurationReading.Unchanged(at(revision.get())));
+                            ? readResult()
+                            : new ConfigurationReadResult.Unchanged(at(revision.get())));
         }
 
         @Override
-        public Mono<DirectoryReading> directory() {
+        public Mono<DirectoryReadResult> directory() {
             return Mono.fromSupplier(() -> cut
-                    ? new DirectoryReading.Unavailable("cut")
-                    : new DirectoryReading.Listed(
+                    ? new DirectoryReadResult.Unavailable("cut")
+                    : new DirectoryReadResult.Listed(
                             at(revision.get()), System.nanoTime() / 1_000_000, endpoints, List.of()));
         }
 
         @Override
-        public Mono<RegistryReading> register(FleetRouter self) {
+        public Mono<RegistryReadResult> register(FleetRouter self) {
             return Mono.fromSupplier(() -> {
                 if (cut) {
-                    return new RegistryReading.Unavailable("cut");
+                    return new RegistryReadResult.Unavailable("cut");
                 }
                 routers.add(self);
                 return registry();
@@ -115,14 +116,14 @@
         }
 
         @Override
-        public Mono<RegistryReading> registered() {
-            return Mono.fromSupplier(() -> cut ? new RegistryReading.Unavailable("cut") : registry());
+        public Mono<RegistryReadResult> registered() {
+            return Mono.fromSupplier(() -> cut ? new RegistryReadResult.Unavailable("cut") : registry());
         }
 
-        private RegistryReading registry() {
-            return new RegistryReading.Registered(
+        private RegistryReadResult registry() {
+            return new RegistryReadResult.Registered(
                     routers.stream()
-                            .map(router -> new RegistryReading.Registration(router, at(revision.get())))
+                            .map(router -> new RegistryReadResult.Registration(router, at(revision.get())))
                             .toList(),
                     at(revision.get()));
         }
@@ -134,10 +135,10 @@
         }
 
         @Override
-        public Mono<QuarantineReading> quarantined() {
+        public Mono<QuarantineReadResult> quarantined() {
             return Mono.fromSupplier(() -> cut
-                    ? new QuarantineReading.Unavailable("cut")
-                    : new QuarantineReading.Listed(List.copyOf(quarantined.values())));
+                    ? new QuarantineReadResult.Unavailable("cut")
+                    : new QuarantineReadResult.Listed(List.copyOf(quarantined.values())));
         }
 
         @Override
@@ -160,13 +161,14 @@
             });
         }
 
-        private ConfigurationReading reading() {
+        private ConfigurationReadResult readResult() {
             if (cut) {
-                return new ConfigurationReading.Unavailable("cut");
+                return new ConfigurationReadResult.Unavailable("cut");
             }
             return document.isEmpty()
-                    ? new ConfigurationReading.Unchanged(at(revision.get()))
-                    : new ConfigurationReading.Published(at(revision.get()), document.getBytes(StandardCharsets.UTF_8));
+                    ? new ConfigurationReadResult.Unchanged(at(revision.get()))
+                    : new ConfigurationReadResult.Published(
+                            at(revision.get()), document.getBytes(StandardCharsets.UTF_8));
         }
     }
 }
