--- a/radishpass-routing/src/main/java/org/radishpass/routing/config/RequestKind.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/config/RequestKind.java
@@ -16,17 +16,17 @@
     /** The response is an event stream that another endpoint can continue after the last event received. */
     RESUMABLE_STREAM(true, true);
 
-    private final boolean mayRunAgain;
+    private final boolean retryableAfterRun;
     private final boolean streams;
 
     RequestKind(boolean mayRunAgain, boolean streams) {
-        this.mayRunAgain = mayRunAgain;
+        this.retryableAfterRun = mayRunAgain;
         this.streams = streams;
     }
 
     /** Tells whether a request of this kind may be sent again when it may already have run. */
-    public boolean mayRunAgain() {
-        return mayRunAgain;
+    public boolean retryableAfterRun() {
+        return retryableAfterRun;
     }
 
     /** Tells whether the response is an event stream. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
@@ -18,12 +18,12 @@
 import org.radishpass.routing.fleet.FleetMembers;
 import org.radishpass.routing.fleet.FleetRouter;
 import org.radishpass.routing.fleet.RegionMap;
-import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.load.WorkReportExchange;
 import org.radishpass.routing.quarantine.RequestFingerprint;
 import org.radishpass.routing.quarantine.Suspect;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectListener;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 import org.radishpass.routing.traffic.MonotonicClock;
 import org.radishpass.routing.traffic.RoutingView;
 import org.radishpass.runtime.thread.ControlThread;
@@ -47,7 +47,7 @@
     private final DirectoryTracker directory = new DirectoryTracker();
     private final DrainTracker drains = new DrainTracker();
     private final ColdEndpoints coldEndpoints;
-    private final SuspectSource suspects;
+    private final SuspectExchange suspects;
     private final StoreFollower follower;
     private final PeerExchange peers;
     private final RegistryCleaner registryCleaner;
@@ -80,8 +80,8 @@
             ControlSource source,
             FleetRouter self,
             ConfigurationDecoder decoder,
-            WorkSource work,
-            SuspectSource suspects,
+            WorkReportExchange work,
+            SuspectExchange suspects,
             RegionMap regions,
             MeterRegistry metrics,
             Runnable onRoutable) {
@@ -122,7 +122,7 @@
     void start() {
         eras.publishOn(thread.scheduler()).subscribe(era -> restoreHandler.eraObserved(era, DirectoryOrigin.STORE));
         follower.start();
-        suspects.onSuspects(new SuspectReportListener());
+        suspects.setSuspectListener(new SuspectReportListener());
         thread.run(quarantine::load);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DirectoryTracker.java
@@ -306,7 +306,7 @@
         long differenceMillis = Math.abs(read.coldUntilStoreMillis() - before.coldUntilStoreMillis());
         boolean sameColdPeriod = read.coldUntilStoreMillis() == ServiceEndpoint.NEVER_COLD
                 || differenceMillis <= ColdEndpoints.ENTRY_UPDATE_DELAY_MILLIS;
-        return sameColdPeriod ? read.coldUntil(before.coldUntilStoreMillis()) : read;
+        return sameColdPeriod ? read.withColdUntil(before.coldUntilStoreMillis()) : read;
     }
 
     private void removeByName(String name) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListCodec.java
@@ -85,8 +85,8 @@
         private ServiceEndpoint endpoint() {
             return new ServiceEndpoint(
                             name, service, new Address(host, port), new DataCentre(dataCentre), slots, leaving)
-                    .startedAs(new Incarnation(startedAtMillis))
-                    .coldUntil(coldUntilStoreMillis);
+                    .withIncarnation(new Incarnation(startedAtMillis))
+                    .withColdUntil(coldUntilStoreMillis);
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/GatheringPlan.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/GatheringPlan.java
@@ -92,6 +92,6 @@
     }
 
     private static boolean precedes(FleetRouter one, FleetRouter other) {
-        return FleetRouter.BY_DUTY.compare(one, other) < 0;
+        return FleetRouter.LARGEST_FIRST.compare(one, other) < 0;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
@@ -16,9 +16,9 @@
 import org.radishpass.routing.fleet.FleetMembers;
 import org.radishpass.routing.fleet.FleetRouter;
 import org.radishpass.routing.fleet.StorePosition;
-import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.load.WorkReportExchange;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 import org.radishpass.routing.traffic.MonotonicClock;
 import org.radishpass.runtime.thread.ControlThread;
 import org.slf4j.Logger;
@@ -39,8 +39,8 @@
     private final ControlThread thread;
     private final MonotonicClock clock;
     private final FleetRouter self;
-    private final WorkSource work;
-    private final SuspectSource suspects;
+    private final WorkReportExchange work;
+    private final SuspectExchange suspects;
     private final ControlState controlState;
     private final Listener listener;
     private final PeerTable peers;
@@ -54,8 +54,8 @@
             ControlThread thread,
             MonotonicClock clock,
             FleetRouter self,
-            WorkSource work,
-            SuspectSource suspects,
+            WorkReportExchange work,
+            SuspectExchange suspects,
             ControlState controlState,
             Listener listener) {
         this.thread = thread;
@@ -140,7 +140,7 @@
     @Override
     public Mono<PeerMessage> handle(String from, PeerMessage message) {
         if (message instanceof RoutingMessage.RoutingState state) {
-            work.peerTold(from, state.scope(), RoutingMessageMapper.toWork(state), state.failing());
+            work.recordPeerReport(from, state.scope(), RoutingMessageMapper.toWork(state), state.failing());
             return runOnControlThread(() -> onState(from, state));
         }
         if (message instanceof RoutingMessage.Introduction introduction) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
@@ -8,11 +8,11 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
+import org.radishpass.routing.quarantine.EndpointCrash;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Sighting;
 import org.radishpass.routing.quarantine.Suspect;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 import org.radishpass.routing.traffic.MonotonicClock;
 import org.radishpass.runtime.thread.ControlThread;
 import org.slf4j.Logger;
@@ -53,7 +53,7 @@
     private final MonotonicClock clock;
     private final ControlSource source;
     private final StoreClock storeClock;
-    private final SuspectSource suspects;
+    private final SuspectExchange suspects;
     private final RetryBackoff readBackoff = new RetryBackoff();
     private final Map<RequestFingerprint, Boolean> savedByRequest = new LinkedHashMap<>();
 
@@ -62,7 +62,7 @@
             MonotonicClock clock,
             ControlSource source,
             StoreClock storeClock,
-            SuspectSource suspects) {
+            SuspectExchange suspects) {
         this.thread = thread;
         this.clock = clock;
         this.source = source;
@@ -77,7 +77,7 @@
 
     private void onLoaded(QuarantineReadResult result) {
         if (result instanceof QuarantineReadResult.Listed listed) {
-            suspects.suspectsRestored(listed.suspects());
+            suspects.mergeStoredSuspects(listed.suspects());
             listed.suspects().stream()
                     .filter(QuarantinePersistence::expired)
                     .forEach(suspect -> remove(suspect.request()));
@@ -160,6 +160,10 @@
     }
 
     private static boolean expired(Suspect suspect) {
-        return suspect.ends().stream().mapToLong(Sighting::ageMillis).min().orElse(Long.MAX_VALUE) > RETENTION_MILLIS;
+        return suspect.crashes().stream()
+                        .mapToLong(EndpointCrash::ageMillis)
+                        .min()
+                        .orElse(Long.MAX_VALUE)
+                > RETENTION_MILLIS;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
@@ -148,7 +148,7 @@
     public void beginStop() {
         stopping = true;
         LOG.info("the router is stopping", LogEvent.STOP.field());
-        traffic.stopping();
+        traffic.closeAfterResponses();
         control.leave();
     }
 
@@ -168,12 +168,12 @@
     /** Passes what responses state about endpoints to the control plane. */
     private final class ResponseStatementListener implements EndpointListener {
         @Override
-        public void gone(ServiceEndpoint endpoint) {
+        public void addressTakenOver(ServiceEndpoint endpoint) {
             control.addressTakenOver(endpoint.id());
         }
 
         @Override
-        public void leaving(ServiceEndpoint endpoint) {
+        public void endpointLeaving(ServiceEndpoint endpoint) {
             control.endpointLeaving(endpoint.id());
         }
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StopSequence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StopSequence.java
@@ -79,7 +79,7 @@
 
     private void checkIdle(long startedNanos) {
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
-        router.traffic().endIfIdle(millis > grace.toMillis() - GRACE_MARGIN_MILLIS, active -> {
+        router.traffic().stopIfIdle(millis > grace.toMillis() - GRACE_MARGIN_MILLIS, active -> {
             LOG.info("the router has stopped", LogEvent.STOPPED.field(), kv("active", active), kv("millis", millis));
             ended.countDown();
         });
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessageMapper.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessageMapper.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import org.radishpass.peer.message.RoutingMessage;
 import org.radishpass.peer.message.WorkScope;
+import org.radishpass.routing.quarantine.EndpointCrash;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Sighting;
 import org.radishpass.routing.quarantine.Suspect;
 import org.radishpass.routing.quarantine.SuspectReport;
 
@@ -34,18 +34,19 @@
     private static RoutingMessage.SuspectRequest suspect(Suspect suspect) {
         return new RoutingMessage.SuspectRequest(
                 toRequestName(suspect.request()),
-                suspect.ends().stream()
-                        .map(end -> new RoutingMessage.EndedEndpoint(
-                                end.endpointHash(), end.ageMillis(), end.atWorkMillis()))
+                suspect.crashes().stream()
+                        .map(crash -> new RoutingMessage.EndedEndpoint(
+                                crash.endpointHash(), crash.ageMillis(), crash.inProgressMillis()))
                         .toList(),
                 suspect.triedMillisAgo());
     }
 
     private static Suspect suspect(RoutingMessage.SuspectRequest entry) {
-        List<Sighting> ends = entry.ends().stream()
-                .map(end -> new Sighting(end.endpointHash(), Math.max(0, end.ageMillis()), end.atWorkMillis()))
+        List<EndpointCrash> crashes = entry.ends().stream()
+                .map(end -> new EndpointCrash(end.endpointHash(), Math.max(0, end.ageMillis()), end.atWorkMillis()))
                 .toList();
-        return new Suspect(toFingerprint(entry.request()), ends, Math.max(Suspect.NEVER_TRIED, entry.triedMillisAgo()));
+        return new Suspect(
+                toFingerprint(entry.request()), crashes, Math.max(Suspect.NEVER_TRIED, entry.triedMillisAgo()));
     }
 
     private static RoutingMessage.RequestName toRequestName(RequestFingerprint request) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
@@ -8,8 +8,8 @@
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.peer.transport.PeerLinks;
 import org.radishpass.routing.fleet.FleetRouter;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 import org.radishpass.routing.traffic.MonotonicClock;
 import org.radishpass.runtime.thread.ControlThread;
 
@@ -31,7 +31,7 @@
     private final ControlThread thread;
     private final MonotonicClock clock;
     private final FleetRouter self;
-    private final SuspectSource suspects;
+    private final SuspectExchange suspects;
     private final PeerTable peers;
     private final PeerLinks links;
 
@@ -39,7 +39,7 @@
             ControlThread thread,
             MonotonicClock clock,
             FleetRouter self,
-            SuspectSource suspects,
+            SuspectExchange suspects,
             PeerTable peers,
             PeerLinks links) {
         this.thread = thread;
@@ -60,7 +60,7 @@
      * report.
      */
     void onMessage(String from, RoutingMessage.SuspectRequests message) {
-        suspects.suspectsTold(
+        suspects.mergeSuspects(
                 SuspectMessageMapper.toReport(message),
                 from,
                 added -> thread.run(() -> sendTwice(added, report -> forward(report, message.scope(), from))));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
@@ -12,7 +12,7 @@
 import org.radishpass.routing.fleet.StorePosition;
 import org.radishpass.routing.load.InFlight;
 import org.radishpass.routing.load.WorkReport;
-import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.load.WorkReportExchange;
 import org.radishpass.routing.traffic.MonotonicClock;
 import org.radishpass.runtime.thread.ControlThread;
 import org.slf4j.Logger;
@@ -43,7 +43,7 @@
     private final ControlThread thread;
     private final MonotonicClock clock;
     private final FleetRouter self;
-    private final WorkSource work;
+    private final WorkReportExchange work;
     private final ControlState controlState;
     private final PeerTable peers;
     private final PeerLinks links;
@@ -56,7 +56,7 @@
             ControlThread thread,
             MonotonicClock clock,
             FleetRouter self,
-            WorkSource work,
+            WorkReportExchange work,
             ControlState controlState,
             PeerTable peers,
             PeerLinks links) {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/PromptShape.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/PromptDescription.java
@@ -12,11 +12,11 @@
  * @param parts the parts of the prompt in order; the last part is not shared beyond the request or its session
  * @since 0.2.0
  */
-public record PromptShape(String model, int promptTokens, int maxOutputTokens, List<PromptPart> parts) {
+public record PromptDescription(String model, int promptTokens, int maxOutputTokens, List<PromptPart> parts) {
     private static final long CHAIN_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     /** Creates a description with a copy of the parts. */
-    public PromptShape {
+    public PromptDescription {
         parts = List.copyOf(parts);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestDialect.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestDialect.java
@@ -26,12 +26,12 @@
      * @param headers a copy of the caller's headers without hop-by-hop headers; modified by this method
      * @param forwarding the values that the router adds
      */
-    void encode(HttpHeaders headers, ForwardingHead forwarding);
+    void encode(HttpHeaders headers, ForwardingHeaders forwarding);
 
     /**
      * Decodes the head of an endpoint's response.
      *
      * @param response the response
      */
-    AnswerHead decodeAnswer(HttpResponse response);
+    ResponseHead decodeResponse(HttpResponse response);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/RequestHead.java
@@ -10,9 +10,9 @@
  * @param id the id that the caller gave this attempt; empty if absent
  * @param host the host without a port
  * @param path the path without a query
- * @param patienceMillis the time for which the caller waits for the response after sending, in milliseconds, if stated
+ * @param timeoutMillis the time for which the caller waits for the response after sending, in milliseconds, if stated
  * @param bearerKey the API key, or null
- * @param promptShape the description of the prompt, or null
+ * @param promptDescription the description of the prompt, or null
  * @param lastEventId the id of the event after which the response is to continue, or null
  * @since 0.2.0
  */
@@ -20,9 +20,9 @@
         String id,
         String host,
         String path,
-        OptionalLong patienceMillis,
+        OptionalLong timeoutMillis,
         @Nullable String bearerKey,
-        @Nullable PromptShape promptShape,
+        @Nullable PromptDescription promptDescription,
         @Nullable String lastEventId) {
     /** Returns the API key. */
     public Optional<String> key() {
@@ -30,7 +30,7 @@
     }
 
     /** Returns the description of the prompt. */
-    public Optional<PromptShape> prompt() {
-        return Optional.ofNullable(promptShape);
+    public Optional<PromptDescription> prompt() {
+        return Optional.ofNullable(promptDescription);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/AnswerHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/ResponseHead.java
@@ -18,7 +18,7 @@
  * @param retryAfterMillis the time for which the endpoint asks to be sent nothing, in milliseconds, if stated
  * @since 0.2.0
  */
-public record AnswerHead(
+public record ResponseHead(
         int status,
         boolean notRun,
         @Nullable String requestId,
@@ -57,7 +57,7 @@
     }
 
     /** Tells whether a success has no signature and is not trusted: the head was corrupted or truncated on the way. */
-    public boolean unprovenSuccess() {
+    public boolean unsignedSuccess() {
         return status >= FIRST_SUCCESS && status <= LAST_SUCCESS && !signed;
     }
 
@@ -66,12 +66,12 @@
      *
      * @param id the id of the request
      */
-    public boolean answers(String id) {
+    public boolean matchesRequest(String id) {
         return requestId == null || requestId.equals(id);
     }
 
     /**
-     * Builder of an {@link AnswerHead}.
+     * Builder of an {@link ResponseHead}.
      *
      * @since 0.6.0
      */
@@ -139,8 +139,8 @@
         }
 
         /** Returns the head. */
-        public AnswerHead build() {
-            return new AnswerHead(
+        public ResponseHead build() {
+            return new ResponseHead(
                     status,
                     notRun,
                     requestId,
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
@@ -17,7 +17,7 @@
     public static final EndpointDirectory EMPTY = new EndpointDirectory(List.of());
 
     private final Map<String, ServiceEndpoint> byId = new HashMap<>();
-    private final Map<String, List<ServiceEndpoint>> openByService = new HashMap<>();
+    private final Map<String, List<ServiceEndpoint>> acceptingByService = new HashMap<>();
     private final Map<String, List<ServiceEndpoint>> allByService = new HashMap<>();
 
     /**
@@ -32,7 +32,7 @@
                     .computeIfAbsent(endpoint.service(), service -> new ArrayList<>())
                     .add(endpoint);
             if (!endpoint.leaving()) {
-                openByService
+                acceptingByService
                         .computeIfAbsent(endpoint.service(), service -> new ArrayList<>())
                         .add(endpoint);
             }
@@ -54,8 +54,8 @@
      *
      * @param service the name of the service
      */
-    public List<ServiceEndpoint> open(String service) {
-        return openByService.getOrDefault(service, List.of());
+    public List<ServiceEndpoint> accepting(String service) {
+        return acceptingByService.getOrDefault(service, List.of());
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/FleetRouter.java
@@ -17,7 +17,7 @@
     public static final DataCentre UNLOCATED = new DataCentre("unlocated");
 
     /** The order in which routers are asked to work for others: by CPU capacity, largest first, then by id. */
-    public static final Comparator<FleetRouter> BY_DUTY =
+    public static final Comparator<FleetRouter> LARGEST_FIRST =
             Comparator.comparingDouble(FleetRouter::cores).reversed().thenComparing(FleetRouter::id);
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/Incarnation.java
@@ -12,10 +12,10 @@
     /**
      * The incarnation of an endpoint that does not state its start time; such an endpoint has a new name in each run.
      */
-    public static final Incarnation UNTOLD = new Incarnation(-1);
+    public static final Incarnation UNKNOWN = new Incarnation(-1);
 
     /** Tells whether the endpoint has stated its start time. */
-    public boolean told() {
+    public boolean known() {
         return startedAtMillis >= 0;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/RegionMap.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/RegionMap.java
@@ -25,7 +25,7 @@
      * @param dataCentre the data centre
      * @param allowed the allowed regions; empty if all data centres are allowed
      */
-    public boolean within(DataCentre dataCentre, Set<Region> allowed) {
+    public boolean inAllowedRegion(DataCentre dataCentre, Set<Region> allowed) {
         Region region = byDataCentre.get(dataCentre);
         return allowed.isEmpty() || (region != null && allowed.contains(region));
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
@@ -41,7 +41,17 @@
     /** Creates an endpoint that states neither a start time nor a warm-up, and computes the hash of its id. */
     public ServiceEndpoint(
             String id, String service, Address address, DataCentre dataCentre, int slots, boolean leaving) {
-        this(id, id, Incarnation.UNTOLD, service, address, dataCentre, slots, leaving, Rendezvous.hash(id), NEVER_COLD);
+        this(
+                id,
+                id,
+                Incarnation.UNKNOWN,
+                service,
+                address,
+                dataCentre,
+                slots,
+                leaving,
+                Rendezvous.hash(id),
+                NEVER_COLD);
     }
 
     /** Returns a copy of this endpoint that is draining. */
@@ -55,7 +65,7 @@
      *
      * @param storeMillis the end of the warm-up, on the store's clock in milliseconds; {@link #NEVER_COLD} for none
      */
-    public ServiceEndpoint coldUntil(long storeMillis) {
+    public ServiceEndpoint withColdUntil(long storeMillis) {
         return new ServiceEndpoint(
                 id, name, incarnation, service, address, dataCentre, slots, leaving, hash, storeMillis);
     }
@@ -65,8 +75,8 @@
      *
      * @param newIncarnation the incarnation
      */
-    public ServiceEndpoint startedAs(Incarnation newIncarnation) {
-        String newId = newIncarnation.told() ? name + SEPARATOR + newIncarnation.startedAtMillis() : name;
+    public ServiceEndpoint withIncarnation(Incarnation newIncarnation) {
+        String newId = newIncarnation.known() ? name + SEPARATOR + newIncarnation.startedAtMillis() : name;
         return new ServiceEndpoint(
                 newId,
                 name,
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointBackoffs.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointBackoffs.java
@@ -20,7 +20,7 @@
      * The default for the maximum length of a backoff, in milliseconds. An endpoint that asks for a longer backoff is
      * sent a request after this time, so that a wrong value does not take the endpoint out of use for good.
      */
-    public static final long DEFAULT_LONGEST_MILLIS = 300_000;
+    public static final long DEFAULT_MAX_BACKOFF_MILLIS = 300_000;
 
     private static final long NO_BACKOFF = Long.MIN_VALUE;
     private static final int INITIAL_WINDOW = 1;
@@ -31,15 +31,15 @@
     private static final int MAX_WINDOW = 8;
 
     private final Map<String, Backoff> byEndpoint = new HashMap<>();
-    private long longestMillis = DEFAULT_LONGEST_MILLIS;
+    private long maxBackoffMillis = DEFAULT_MAX_BACKOFF_MILLIS;
 
     /**
      * Sets the maximum length of a backoff. Backoffs in force keep their ends.
      *
      * @param millis the maximum length, in milliseconds
      */
-    public void longestMillis(long millis) {
-        longestMillis = millis;
+    public void maxBackoffMillis(long millis) {
+        maxBackoffMillis = millis;
     }
 
     /**
@@ -54,7 +54,7 @@
     public boolean rejected(String endpointId, long backoffMillis, long nowMillis) {
         boolean begins = !inForce(endpointId, nowMillis);
         Backoff backoff = byEndpoint.computeIfAbsent(endpointId, id -> new Backoff());
-        backoff.untilMillis = Math.max(backoff.untilMillis, nowMillis + Math.min(backoffMillis, longestMillis));
+        backoff.untilMillis = Math.max(backoff.untilMillis, nowMillis + Math.min(backoffMillis, maxBackoffMillis));
         backoff.window = INITIAL_WINDOW;
         return begins;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
@@ -34,7 +34,7 @@
     /** The error rate assumed after an ejection: one more error ejects the endpoint again at once. */
     private static final double ERROR_RATE_AFTER_EJECTION = 0.3;
 
-    /** The number of consecutive slow responses at which an endpoint is ejected; see {@link AnswerPatience}. */
+    /** The number of consecutive slow responses at which an endpoint is ejected; see {@link ResponseTimes}. */
     private static final int EJECTION_SLOW_RESPONSES = 3;
 
     /**
@@ -51,10 +51,10 @@
     private long memberReportedFailingUntilMillis = Long.MIN_VALUE;
     private boolean down;
     private boolean probeInProgress;
-    private boolean doubted;
+    private boolean possiblyUnreachable;
     private long probeAtMillis;
     private long retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
-    private long heardAtMillis;
+    private long bytesReceivedAtMillis;
     private long unreachableAtMillis = NEVER;
 
     /**
@@ -63,16 +63,16 @@
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
     public EndpointHealth(long nowMillis) {
-        this.heardAtMillis = nowMillis;
+        this.bytesReceivedAtMillis = nowMillis;
     }
 
     /** Records that a connection to the endpoint was established. */
     public void connected(long nowMillis) {
         down = false;
-        doubted = false;
+        possiblyUnreachable = false;
         probeInProgress = false;
         retryDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
-        heardAtMillis = nowMillis;
+        bytesReceivedAtMillis = nowMillis;
     }
 
     /**
@@ -85,7 +85,7 @@
         boolean wasUp = !down;
         unreachableAtMillis = nowMillis;
         down = true;
-        doubted = false;
+        possiblyUnreachable = false;
         probeInProgress = false;
         probeAtMillis = nowMillis + retryDelayMillis;
         retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
@@ -100,29 +100,29 @@
     }
 
     /** Records that bytes arrived from the endpoint. */
-    public void heard(long nowMillis) {
-        heardAtMillis = nowMillis;
-        doubted = false;
+    public void bytesReceived(long nowMillis) {
+        bytesReceivedAtMillis = nowMillis;
+        possiblyUnreachable = false;
     }
 
-    /** Records that a connection broke: until bytes arrive again, the endpoint must not count as recently heard. */
-    public void broke(long nowMillis) {
-        heardAtMillis = Math.min(heardAtMillis, nowMillis - DISCONNECTED_AGE_MILLIS);
+    /** Records that a connection broke: until bytes arrive again, the endpoint must not count as recently active. */
+    public void disconnected(long nowMillis) {
+        bytesReceivedAtMillis = Math.min(bytesReceivedAtMillis, nowMillis - DISCONNECTED_AGE_MILLIS);
     }
 
     /** Marks the endpoint as possibly unreachable, because others are, while its connection is being checked. */
-    public void doubt() {
-        doubted = true;
+    public void markPossiblyUnreachable() {
+        possiblyUnreachable = true;
     }
 
     /** Tells whether the endpoint is possibly unreachable and its connection is being checked. */
-    public boolean doubted() {
-        return doubted;
+    public boolean possiblyUnreachable() {
+        return possiblyUnreachable;
     }
 
     /** Returns when bytes last arrived from the endpoint, on the monotonic clock in milliseconds. */
-    public long heardAtMillis() {
-        return heardAtMillis;
+    public long bytesReceivedAtMillis() {
+        return bytesReceivedAtMillis;
     }
 
     /** Records a complete response that was not an error. */
@@ -146,7 +146,7 @@
     }
 
     /** Records a response that began in time. */
-    public void answeredInTime() {
+    public void respondedInTime() {
         consecutiveSlowResponses = 0;
     }
 
@@ -156,7 +156,7 @@
      *
      * @return whether the endpoint starts to count as slow
      */
-    public boolean answeredSlowly(long nowMillis) {
+    public boolean respondedSlowly(long nowMillis) {
         consecutiveSlowResponses++;
         if (consecutiveSlowResponses < EJECTION_SLOW_RESPONSES || failingLocally(nowMillis)) {
             return false;
@@ -172,7 +172,7 @@
      * @param scope the routers on whose behalf the peer reports
      * @param untilMillis the end of the report's validity, on the monotonic clock in milliseconds
      */
-    public void saidToFail(WorkScope scope, long untilMillis) {
+    public void recordReportedFailing(WorkScope scope, long untilMillis) {
         reportedFailingUntilMillis = Math.max(reportedFailingUntilMillis, untilMillis);
         if (!scope.leads()) {
             memberReportedFailingUntilMillis = Math.max(memberReportedFailingUntilMillis, untilMillis);
@@ -207,7 +207,7 @@
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public boolean takeProbe(long nowMillis) {
+    public boolean tryBeginProbe(long nowMillis) {
         if (!down || probeInProgress || nowMillis < probeAtMillis) {
             return false;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/HealthBook.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealthTracker.java
@@ -14,7 +14,7 @@
  *
  * @since 0.2.0
  */
-public final class HealthBook {
+public final class EndpointHealthTracker {
     /**
      * The maximum fraction of a service's endpoints to eject as failing; if more are failing, the cause lies elsewhere.
      */
@@ -42,13 +42,13 @@
      * Returns the endpoints to which requests can be sent: those that are neither down, nor possibly unreachable, nor
      * failing. A condition that would leave too few endpoints is ignored; if all endpoints are down, all are returned.
      *
-     * @param open the endpoints of a service that accept new requests
+     * @param accepting the endpoints of a service that accept new requests
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public List<ServiceEndpoint> usable(List<ServiceEndpoint> open, long nowMillis) {
-        List<ServiceEndpoint> reachable = reachableBeyondDoubt(open, nowMillis);
+    public List<ServiceEndpoint> usable(List<ServiceEndpoint> accepting, long nowMillis) {
+        List<ServiceEndpoint> reachable = likelyReachable(accepting, nowMillis);
         if (reachable.isEmpty()) {
-            return open;
+            return accepting;
         }
         List<ServiceEndpoint> healthy = notFailing(reachable, nowMillis);
         return tooFew(healthy, reachable) ? reachable : healthy;
@@ -58,11 +58,11 @@
      * Tells whether so many endpoints of a service are down or failing that the cause is probably this router or a
      * general overload. Trying a request elsewhere early is then pointless.
      *
-     * @param open the endpoints of a service that accept new requests
+     * @param accepting the endpoints of a service that accept new requests
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public boolean doubtful(List<ServiceEndpoint> open, long nowMillis) {
-        return tooFew(notFailing(reachable(open, nowMillis), nowMillis), open);
+    public boolean mostlyUnhealthy(List<ServiceEndpoint> accepting, long nowMillis) {
+        return tooFew(notFailing(reachable(accepting, nowMillis), nowMillis), accepting);
     }
 
     private List<ServiceEndpoint> notFailing(List<ServiceEndpoint> endpoints, long nowMillis) {
@@ -80,12 +80,12 @@
     }
 
     /** Returns the endpoints that are not down, without those possibly unreachable unless there are no others. */
-    private List<ServiceEndpoint> reachableBeyondDoubt(List<ServiceEndpoint> open, long nowMillis) {
-        List<ServiceEndpoint> reachable = reachable(open, nowMillis);
-        List<ServiceEndpoint> undoubted = reachable.stream()
-                .filter(endpoint -> !of(endpoint.id(), nowMillis).doubted())
+    private List<ServiceEndpoint> likelyReachable(List<ServiceEndpoint> accepting, long nowMillis) {
+        List<ServiceEndpoint> reachable = reachable(accepting, nowMillis);
+        List<ServiceEndpoint> likely = reachable.stream()
+                .filter(endpoint -> !of(endpoint.id(), nowMillis).possiblyUnreachable())
                 .toList();
-        return undoubted.isEmpty() ? reachable : undoubted;
+        return likely.isEmpty() ? reachable : likely;
     }
 
     /** Returns the ids of the endpoints that are failing according to this router or to a member of its group. */
@@ -112,8 +112,8 @@
      * @param scope the routers on whose behalf the peer reports
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void saidToFail(List<String> endpointIds, WorkScope scope, long nowMillis) {
-        endpointIds.forEach(id -> of(id, nowMillis).saidToFail(scope, nowMillis + PEER_REPORT_VALID_MILLIS));
+    public void recordReportedFailing(List<String> endpointIds, WorkScope scope, long nowMillis) {
+        endpointIds.forEach(id -> of(id, nowMillis).recordReportedFailing(scope, nowMillis + PEER_REPORT_VALID_MILLIS));
     }
 
     /**
@@ -135,11 +135,11 @@
      * @param withinMillis the maximum age of the last received bytes, in milliseconds
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public List<ServiceEndpoint> heardLately(List<ServiceEndpoint> endpoints, long withinMillis, long nowMillis) {
-        List<ServiceEndpoint> heard = endpoints.stream()
-                .filter(endpoint -> nowMillis - of(endpoint.id(), nowMillis).heardAtMillis() <= withinMillis)
+    public List<ServiceEndpoint> recentlyActive(List<ServiceEndpoint> endpoints, long withinMillis, long nowMillis) {
+        List<ServiceEndpoint> active = endpoints.stream()
+                .filter(endpoint -> nowMillis - of(endpoint.id(), nowMillis).bytesReceivedAtMillis() <= withinMillis)
                 .toList();
-        return heard.isEmpty() ? endpoints : heard;
+        return active.isEmpty() ? endpoints : active;
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/AnswerPatience.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/ResponseTimes.java
@@ -13,7 +13,7 @@
  *
  * @since 0.4.0
  */
-public final class AnswerPatience {
+public final class ResponseTimes {
     /** The result of this class's methods for a route with too few responses so far. */
     public static final long UNKNOWN = Long.MAX_VALUE;
 
@@ -36,8 +36,8 @@
     /** The minimum of the limit, in milliseconds: pauses of the router's own process are about that long. */
     private static final long MIN_LIMIT_MILLIS = 100;
 
-    /** The fraction of the latency target after which a second try may start; the rest is left to the second try. */
-    private static final double SECOND_TRY_TARGET_FRACTION = 0.5;
+    /** The fraction of the latency target after which a second attempt may start; the rest is left to the second attempt. */
+    private static final double SECOND_ATTEMPT_TARGET_FRACTION = 0.5;
 
     /** The minimum number of responses of a route before its quantiles are used. */
     private static final int MIN_RESPONSES = 20;
@@ -58,7 +58,7 @@
      * @param route the name of the route
      * @param millis the time from sending the request to the head of the response, in milliseconds
      */
-    public void note(String route, double millis) {
+    public void record(String route, double millis) {
         if (byRoute.size() >= MAX_ROUTES) {
             byRoute.clear();
         }
@@ -72,7 +72,7 @@
      *
      * @param route the name of the route
      */
-    public long millis(String route) {
+    public long slowThresholdMillis(String route) {
         ResponseTimeQuantiles quantiles = byRoute.get(route);
         if (quantiles == null || quantiles.count < MIN_RESPONSES) {
             return UNKNOWN;
@@ -88,7 +88,7 @@
      * @param route the name of the route
      * @since 0.6.0
      */
-    public long usualMillis(String route) {
+    public long medianMillis(String route) {
         ResponseTimeQuantiles quantiles = byRoute.get(route);
         return quantiles == null || quantiles.count < MIN_RESPONSES ? UNKNOWN : Math.round(quantiles.median);
     }
@@ -96,14 +96,14 @@
     /**
      * Returns how long to wait for a response to begin before the request is also sent to another endpoint, in
      * milliseconds: until the endpoint counts as slow, but at least half of the latency target. Most late responses
-     * begin by then, and a second try makes another engine process the prompt again. {@link #UNKNOWN} if the route has
+     * begin by then, and a second attempt makes another engine process the prompt again. {@link #UNKNOWN} if the route has
      * too few responses so far.
      *
      * @param route the name of the route
      * @param targetMillis the time within which a response of the route should begin, in milliseconds
      */
-    public long secondTryMillis(String route, long targetMillis) {
-        return Math.max(millis(route), Math.round(SECOND_TRY_TARGET_FRACTION * targetMillis));
+    public long secondAttemptMillis(String route, long targetMillis) {
+        return Math.max(slowThresholdMillis(route), Math.round(SECOND_ATTEMPT_TARGET_FRACTION * targetMillis));
     }
 
     /** Running estimates of two quantiles of the time until the responses of one route begin. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightBook.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightTracker.java
@@ -16,7 +16,7 @@
  *
  * @since 0.2.0
  */
-public final class InFlightBook {
+public final class InFlightTracker {
     /** The time for which a peer's report counts, in milliseconds: six missed messages. */
     public static final long PEER_REPORT_VALID_MILLIS = 3_000;
 
@@ -113,7 +113,7 @@
      * @param work the work by endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, long nowMillis) {
+    public void recordPeerReport(String peerId, WorkScope scope, Map<String, InFlight> work, long nowMillis) {
         if (scope == WorkScope.GROUP && nowMillis < othersReportValidUntilMillis) {
             return;
         }
@@ -133,7 +133,7 @@
      *
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void forgetSilentPeers(long nowMillis) {
+    public void removeExpiredReports(long nowMillis) {
         removeReports(report -> nowMillis - report.receivedAtMillis > PEER_REPORT_VALID_MILLIS);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/LoadLimit.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/LoadLimit.java
@@ -29,12 +29,12 @@
      * Returns the maximum number of requests in flight at one endpoint, including a request that is about to be placed.
      *
      * @param endpoints the endpoints over which the mean is taken
-     * @param book the work in flight
+     * @param inFlight the work in flight
      */
-    public double requests(List<ServiceEndpoint> endpoints, InFlightBook book) {
+    public double requests(List<ServiceEndpoint> endpoints, InFlightTracker inFlight) {
         int sum = 1;
         for (ServiceEndpoint endpoint : endpoints) {
-            sum += book.at(endpoint.id()).requests();
+            sum += inFlight.at(endpoint.id()).requests();
         }
         return factor * sum / Math.max(1, endpoints.size()) + slack;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/SpareRoom.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/SpareCapacity.java
@@ -10,14 +10,14 @@
  *
  * @since 0.4.0
  */
-public final class SpareRoom {
+public final class SpareCapacity {
     /**
      * The fraction of used slots below which there is spare capacity. Below it, requests to plain services seldom
      * queue, and the steps of engines are short.
      */
     private static final double MAX_USED_SLOT_FRACTION = 0.5;
 
-    private SpareRoom() {
+    private SpareCapacity() {
         // static methods only
     }
 
@@ -25,14 +25,14 @@
      * Tells whether a group of endpoints has spare capacity.
      *
      * @param endpoints the endpoints
-     * @param book the work in flight
+     * @param inFlight the work in flight
      */
-    public static boolean at(List<ServiceEndpoint> endpoints, InFlightBook book) {
+    public static boolean existsAt(List<ServiceEndpoint> endpoints, InFlightTracker inFlight) {
         int slots = 0;
         int requests = 0;
         for (ServiceEndpoint endpoint : endpoints) {
             slots += endpoint.slots();
-            requests += book.at(endpoint.id()).requests();
+            requests += inFlight.at(endpoint.id()).requests();
         }
         return requests < MAX_USED_SLOT_FRACTION * slots;
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/WorkReportExchange.java
@@ -10,7 +10,7 @@
  *
  * @since 0.4.0
  */
-public interface WorkSource {
+public interface WorkReportExchange {
     /**
      * Stores a peer's report.
      *
@@ -19,7 +19,7 @@
      * @param work the work by endpoint
      * @param failing the endpoints that fail too often
      */
-    void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing);
+    void recordPeerReport(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing);
 
     /**
      * Passes a report for other routers to a consumer if the group has other members or if this router's own work has
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/EndpointChooser.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/EndpointChooser.java
@@ -5,9 +5,9 @@
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.fleet.DataCentre;
 import org.radishpass.core.placement.Rendezvous;
-import org.radishpass.routing.dialect.PromptShape;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.load.LoadLimit;
 
 /**
@@ -38,18 +38,18 @@
     private static final double UNIT_INTERVAL_SCALE = 0x1.0p-53;
     private static final int UNUSED_BITS = 11;
 
-    private final InFlightBook book;
+    private final InFlightTracker inFlight;
     private final DataCentre localDataCentre;
     private final PromptPlacementHistory promptHistory = new PromptPlacementHistory();
 
     /**
      * Creates a chooser without a history of prompts.
      *
-     * @param book the work in flight
+     * @param inFlight the work in flight
      * @param localDataCentre the data centre of this router, preferred among equally loaded endpoints
      */
-    public EndpointChooser(InFlightBook book, DataCentre localDataCentre) {
-        this.book = book;
+    public EndpointChooser(InFlightTracker inFlight, DataCentre localDataCentre) {
+        this.inFlight = inFlight;
         this.localDataCentre = localDataCentre;
     }
 
@@ -62,15 +62,15 @@
         if (query.candidates().isEmpty()) {
             return Optional.empty();
         }
-        Optional<PromptShape> prompt = query.prompt().filter(shape -> shape.sharedParts() > 0);
+        Optional<PromptDescription> prompt = query.prompt().filter(description -> description.sharedParts() > 0);
         return Optional.of(prompt.isPresent() ? chooseByPrompt(query, prompt.get()) : chooseByLoad(query));
     }
 
-    private PlacementChoice chooseByPrompt(PlacementQuery query, PromptShape prompt) {
+    private PlacementChoice chooseByPrompt(PlacementQuery query, PromptDescription prompt) {
         long key = prompt.chainHash(prompt.sharedParts());
         double limit = Math.min(
-                LoadLimit.PROMPT_AFFINITY.requests(query.candidates(), book),
-                LoadLimit.PROMPT_AFFINITY_WHOLE_SERVICE.requests(query.wholeService(), book));
+                LoadLimit.PROMPT_AFFINITY.requests(query.candidates(), inFlight),
+                LoadLimit.PROMPT_AFFINITY_WHOLE_SERVICE.requests(query.wholeService(), inFlight));
         ServiceEndpoint chosen = firstWithinLimit(query.candidates(), key, limit);
         if (chosen == null) {
             chosen = leastLoaded(candidatesToCompare(query));
@@ -96,7 +96,7 @@
      * @param endpoint the endpoint to which the request was sent
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void sent(PromptShape prompt, ServiceEndpoint endpoint, long nowMillis) {
+    public void sent(PromptDescription prompt, ServiceEndpoint endpoint, long nowMillis) {
         if (prompt.sharedParts() > 0) {
             promptHistory.sent(prompt.chainHash(prompt.sharedParts()), endpoint, nowMillis);
         }
@@ -206,6 +206,6 @@
     }
 
     private int requestsInFlight(ServiceEndpoint endpoint) {
-        return book.at(endpoint.id()).requests();
+        return inFlight.at(endpoint.id()).requests();
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.radishpass.routing.dialect.PromptShape;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
@@ -21,7 +21,7 @@
         List<ServiceEndpoint> candidates,
         List<ServiceEndpoint> wholeService,
         List<ServiceEndpoint> cacheSources,
-        Optional<PromptShape> prompt,
+        Optional<PromptDescription> prompt,
         long requestHash,
         int routers,
         long nowMillis) {}
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/CrashHistory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/CrashHistory.java
@@ -64,20 +64,20 @@
     private String origin = "";
 
     /** Adds crashes; returns whether at least one of them was not known. */
-    boolean addAll(List<Sighting> reported, String reporter, long nowMillis) {
+    boolean addAll(List<EndpointCrash> reported, String reporter, long nowMillis) {
         boolean anyNew = false;
-        for (Sighting crash : reported) {
+        for (EndpointCrash crash : reported) {
             anyNew |= add(crash, reporter, nowMillis);
         }
         return anyNew;
     }
 
-    private boolean add(Sighting reported, String reporter, long nowMillis) {
+    private boolean add(EndpointCrash reported, String reporter, long nowMillis) {
         if (crashes.size() >= MAX_STORED_CRASHES || crashes.containsKey(reported.endpointHash())) {
             return false;
         }
         long atMillis = nowMillis - reported.ageMillis();
-        crashes.put(reported.endpointHash(), new Crash(atMillis, reported.atWorkMillis()));
+        crashes.put(reported.endpointHash(), new Crash(atMillis, reported.inProgressMillis()));
         origin = reporter;
         countConsecutive();
         return true;
@@ -92,7 +92,7 @@
         for (Crash crash : inOrder) {
             if (crash.sentAtMillis() >= lastCrashMillis) {
                 consecutiveCrashes++;
-                allSoonAfterSending &= crash.atWorkMillis <= MAX_CAUSED_CRASH_DELAY_MILLIS;
+                allSoonAfterSending &= crash.inProgressMillis <= MAX_CAUSED_CRASH_DELAY_MILLIS;
                 lastCrashMillis = crash.atMillis;
             }
         }
@@ -171,13 +171,13 @@
     }
 
     /** Returns the status of the request, given that it counts as the cause of its crashes. */
-    Standing standing(long nowMillis) {
+    QuarantineStatus status(long nowMillis) {
         long endMillis = quarantinedUntilMillis();
         if (nowMillis < endMillis) {
-            return Standing.QUARANTINED;
+            return QuarantineStatus.QUARANTINED;
         }
         boolean trialInProgress = triedAtMillis >= endMillis && nowMillis - triedAtMillis < TRIAL_TIMEOUT_MILLIS;
-        return trialInProgress ? Standing.QUARANTINED : Standing.ON_TRIAL;
+        return trialInProgress ? QuarantineStatus.QUARANTINED : QuarantineStatus.ON_TRIAL;
     }
 
     /** Tells whether these crashes happened so long ago that they no longer count. */
@@ -195,16 +195,16 @@
 
     /** Returns the suspect to report to other routers or to write to the store. */
     Suspect toSuspect(RequestFingerprint request, long nowMillis) {
-        List<Sighting> reported = new ArrayList<>(crashes.size());
-        crashes.forEach(
-                (hash, crash) -> reported.add(new Sighting(hash, nowMillis - crash.atMillis, crash.atWorkMillis)));
+        List<EndpointCrash> reported = new ArrayList<>(crashes.size());
+        crashes.forEach((hash, crash) ->
+                reported.add(new EndpointCrash(hash, nowMillis - crash.atMillis, crash.inProgressMillis)));
         return new Suspect(request, reported, triedAtMillis == NEVER ? Suspect.NEVER_TRIED : nowMillis - triedAtMillis);
     }
 
     /** A crash of an endpoint, and the time from sending the request to the crash. */
-    private record Crash(long atMillis, long atWorkMillis) {
+    private record Crash(long atMillis, long inProgressMillis) {
         private long sentAtMillis() {
-            return atMillis - atWorkMillis;
+            return atMillis - inProgressMillis;
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Sighting.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/EndpointCrash.java
@@ -5,12 +5,12 @@
  *
  * @param endpointHash the hash of the endpoint's id, which names one incarnation of the endpoint
  * @param ageMillis the time since the crash, in milliseconds
- * @param atWorkMillis the time from sending the request to the crash, in milliseconds
+ * @param inProgressMillis the time from sending the request to the crash, in milliseconds
  * @since 0.5.0
  */
-public record Sighting(long endpointHash, long ageMillis, long atWorkMillis) {
+public record EndpointCrash(long endpointHash, long ageMillis, long inProgressMillis) {
     /** Returns this crash with its age increased by a time in milliseconds. */
-    Sighting aged(long millis) {
-        return new Sighting(endpointHash, ageMillis + millis, atWorkMillis);
+    EndpointCrash aged(long millis) {
+        return new EndpointCrash(endpointHash, ageMillis + millis, inProgressMillis);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/AtWork.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/InProgressRequest.java
@@ -7,7 +7,7 @@
  * @param millis the time from sending the request to the crash, in milliseconds
  * @since 0.5.0
  */
-public record AtWork(RequestFingerprint request, long millis) {
+public record InProgressRequest(RequestFingerprint request, long millis) {
     @Override
     public String toString() {
         return request + " for " + millis + " ms";
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Quarantine.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Quarantine.java
@@ -51,7 +51,7 @@
     private final Listener listener;
     private final CrashRate crashRate = new CrashRate();
     private SuspectListener suspectListener = SuspectListener.NONE;
-    private volatile int held;
+    private volatile int causeCount;
 
     /**
      * Creates a quarantine without suspects.
@@ -67,7 +67,7 @@
      *
      * @param newListener the listener
      */
-    public void onNews(SuspectListener newListener) {
+    public void setSuspectListener(SuspectListener newListener) {
         suspectListener = newListener;
     }
 
@@ -76,13 +76,14 @@
      *
      * @param service the service of the endpoint
      * @param endpointHash the hash of the endpoint's id
-     * @param atWork the requests that were in progress at the endpoint
+     * @param inProgress the requests that were in progress at the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void ended(String service, long endpointHash, Collection<AtWork> atWork, long nowMillis) {
-        crashRate.crashed(service, atWork.size(), nowMillis);
-        List<Suspect> newSuspects = atWork.stream()
-                .sorted(Comparator.comparingLong(AtWork::millis))
+    public void endpointCrashed(
+            String service, long endpointHash, Collection<InProgressRequest> inProgress, long nowMillis) {
+        crashRate.crashed(service, inProgress.size(), nowMillis);
+        List<Suspect> newSuspects = inProgress.stream()
+                .sorted(Comparator.comparingLong(InProgressRequest::millis))
                 .limit(MAX_SUSPECTS_OF_CRASH)
                 .map(request -> suspect(request, endpointHash))
                 .filter(suspect -> addLocalCrash(suspect, service, nowMillis))
@@ -91,16 +92,18 @@
         publish(new SuspectReport(newSuspects, List.of()));
     }
 
-    private static Suspect suspect(AtWork atWork, long endpointHash) {
+    private static Suspect suspect(InProgressRequest inProgress, long endpointHash) {
         return new Suspect(
-                atWork.request(), List.of(new Sighting(endpointHash, 0, atWork.millis())), Suspect.NEVER_TRIED);
+                inProgress.request(),
+                List.of(new EndpointCrash(endpointHash, 0, inProgress.millis())),
+                Suspect.NEVER_TRIED);
     }
 
     private boolean addLocalCrash(Suspect suspect, String service, long nowMillis) {
         CrashHistory history = historyOf(suspect.request());
         history.service(service);
         history.seenLocally();
-        return history.addAll(suspect.ends(), THIS_ROUTER, nowMillis);
+        return history.addAll(suspect.crashes(), THIS_ROUTER, nowMillis);
     }
 
     /** Has the request written to the store if it counts as the cause and this router itself saw one of its crashes. */
@@ -135,7 +138,7 @@
      */
     public void sent(RequestFingerprint request, long nowMillis) {
         CrashHistory history = histories.get(request);
-        if (history != null && standing(history, nowMillis) == Standing.ON_TRIAL) {
+        if (history != null && status(history, nowMillis) == QuarantineStatus.ON_TRIAL) {
             history.tried(nowMillis);
             listener.tried(request, history.consecutiveCrashes());
             publish(new SuspectReport(List.of(history.toSuspect(request, nowMillis)), List.of()));
@@ -150,17 +153,17 @@
      * @param nowMillis the time on the monotonic clock, in milliseconds
      * @return the part of the report that was not known
      */
-    public SuspectReport told(SuspectReport report, String origin, long nowMillis) {
+    public SuspectReport merge(SuspectReport report, String origin, long nowMillis) {
         List<Suspect> newSuspects = report.suspects().stream()
-                .filter(suspect -> told(suspect, origin, nowMillis))
+                .filter(suspect -> merge(suspect, origin, nowMillis))
                 .toList();
         return new SuspectReport(
                 newSuspects, report.cleared().stream().filter(this::clear).toList());
     }
 
-    private boolean told(Suspect suspect, String origin, long nowMillis) {
+    private boolean merge(Suspect suspect, String origin, long nowMillis) {
         CrashHistory history = historyOf(suspect.request());
-        boolean changed = history.addAll(suspect.ends(), origin, nowMillis);
+        boolean changed = history.addAll(suspect.crashes(), origin, nowMillis);
         if (changed) {
             storeIfCause(suspect.request(), nowMillis);
         }
@@ -177,9 +180,9 @@
      * @param suspects the suspects in the store
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public void restored(Collection<Suspect> suspects, long nowMillis) {
+    public void mergeStored(Collection<Suspect> suspects, long nowMillis) {
         for (Suspect suspect : suspects) {
-            told(suspect, STORE, nowMillis);
+            merge(suspect, STORE, nowMillis);
             historyOf(suspect.request()).stored();
         }
     }
@@ -198,37 +201,37 @@
      * @param service the service to which the request is to be sent
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
-    public Standing standing(RequestFingerprint request, String service, long nowMillis) {
+    public QuarantineStatus status(RequestFingerprint request, String service, long nowMillis) {
         CrashHistory history = histories.get(request);
         if (history == null || history.expired(nowMillis)) {
-            return Standing.CLEAR;
+            return QuarantineStatus.CLEAR;
         }
         history.service(service);
-        Standing standing = standing(history, nowMillis);
-        if (standing == Standing.QUARANTINED && !history.refused()) {
+        QuarantineStatus status = status(history, nowMillis);
+        if (status == QuarantineStatus.QUARANTINED && !history.refused()) {
             history.markRefused();
             listener.quarantined(request, history.consecutiveCrashes(), history.origin());
         }
-        return standing;
+        return status;
     }
 
-    private Standing standing(CrashHistory history, long nowMillis) {
-        return countsAsCause(history, nowMillis) ? history.standing(nowMillis) : Standing.SUSPECTED;
+    private QuarantineStatus status(CrashHistory history, long nowMillis) {
+        return countsAsCause(history, nowMillis) ? history.status(nowMillis) : QuarantineStatus.SUSPECTED;
     }
 
     /**
      * Returns the number of requests that counted as a cause of crashes at the last {@link #tidy}; callable from any
      * thread.
      */
-    public int held() {
-        return held;
+    public int causeCount() {
+        return causeCount;
     }
 
     /** Removes expired suspects and counts the requests that are quarantined or awaiting a trial. */
     public void tidy(long nowMillis) {
         histories.values().removeIf(history -> history.expired(nowMillis));
         crashRate.tidy(nowMillis);
-        held = (int) histories.values().stream()
+        causeCount = (int) histories.values().stream()
                 .filter(history -> countsAsCause(history, nowMillis))
                 .count();
     }
@@ -321,12 +324,12 @@
     /** Receives changes in the status of requests. */
     public interface Listener {
         /** Called when this router refuses a request for the first time because the request crashes its endpoints. */
-        void quarantined(RequestFingerprint request, int ends, String origin);
+        void quarantined(RequestFingerprint request, int crashes, String origin);
 
         /** Called when a quarantined request is let through once as a trial. */
-        void tried(RequestFingerprint request, int ends);
+        void tried(RequestFingerprint request, int crashes);
 
         /** Called when a request that this router had quarantined was answered, at this router or another. */
-        void cleared(RequestFingerprint request, int ends);
+        void cleared(RequestFingerprint request, int crashes);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Standing.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/QuarantineStatus.java
@@ -5,7 +5,7 @@
  *
  * @since 0.5.0
  */
-public enum Standing {
+public enum QuarantineStatus {
     /** No endpoint is known to have crashed while the request was in progress there. */
     CLEAR(true, true),
     /**
@@ -18,11 +18,11 @@
     QUARANTINED(false, false);
 
     private final boolean admitted;
-    private final boolean mayBeRepeated;
+    private final boolean mayBeRetried;
 
-    Standing(boolean admitted, boolean mayBeRepeated) {
+    QuarantineStatus(boolean admitted, boolean mayBeRepeated) {
         this.admitted = admitted;
-        this.mayBeRepeated = mayBeRepeated;
+        this.mayBeRetried = mayBeRepeated;
     }
 
     /** Tells whether the request may be sent to an endpoint. */
@@ -31,7 +31,7 @@
     }
 
     /** Tells whether the request may be retried at another endpoint after its response broke off. */
-    public boolean mayBeRepeated() {
-        return mayBeRepeated;
+    public boolean mayBeRetried() {
+        return mayBeRetried;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/Suspect.java
@@ -6,18 +6,18 @@
  * A request that was in progress at endpoints when they crashed, as routers report it to each other and store it.
  *
  * @param request the request
- * @param ends the crashes
+ * @param crashes the crashes
  * @param triedMillisAgo the time since the last trial, which shows whether the request still crashes its endpoint, in
  *     milliseconds; {@link #NEVER_TRIED} if there was no trial
  * @since 0.5.0
  */
-public record Suspect(RequestFingerprint request, List<Sighting> ends, long triedMillisAgo) {
+public record Suspect(RequestFingerprint request, List<EndpointCrash> crashes, long triedMillisAgo) {
     /** The value of {@link #triedMillisAgo} if there was no trial. */
     public static final long NEVER_TRIED = -1;
 
     /** Creates a suspect with a copy of the crashes. */
     public Suspect {
-        ends = List.copyOf(ends);
+        crashes = List.copyOf(crashes);
     }
 
     /** Tells whether the request has been let through as a trial. */
@@ -28,7 +28,7 @@
     Suspect aged(long millis) {
         return new Suspect(
                 request,
-                ends.stream().map(end -> end.aged(millis)).toList(),
+                crashes.stream().map(crash -> crash.aged(millis)).toList(),
                 tried() ? triedMillisAgo + millis : NEVER_TRIED);
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectSource.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/SuspectExchange.java
@@ -9,7 +9,7 @@
  *
  * @since 0.5.0
  */
-public interface SuspectSource {
+public interface SuspectExchange {
     /**
      * Merges the report of another router.
      *
@@ -17,14 +17,14 @@
      * @param origin the name of the other router, for the log
      * @param news receives the part of the report that was not known, unless empty; called on the traffic thread
      */
-    void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> news);
+    void mergeSuspects(SuspectReport report, String origin, Consumer<SuspectReport> news);
 
     /**
      * Merges the suspects read from the store.
      *
      * @param suspects the suspects in the store
      */
-    void suspectsRestored(List<Suspect> suspects);
+    void mergeStoredSuspects(List<Suspect> suspects);
 
     /**
      * Passes a report of all current suspects to a consumer.
@@ -38,5 +38,5 @@
      *
      * @param listener the listener
      */
-    void onSuspects(SuspectListener listener);
+    void setSuspectListener(SuspectListener listener);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Attempt.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Attempt.java
@@ -4,13 +4,13 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import org.jspecify.annotations.Nullable;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.health.EndpointHealth;
 import org.radishpass.routing.placement.PlacementChoice;
 
 /**
- * One attempt to execute a request at one endpoint. An attempt owns a connection, relays the response and is counted as
+ * One attempt to run a request at one endpoint. An attempt owns a connection, relays the response and is counted as
  * a request in flight at its endpoint. The owner decides whether the request is retried. No call follows after the
  * owner was notified of the end of the attempt.
  */
@@ -25,7 +25,7 @@
     private final long tokens;
     private final ResponseTimer responseTimer;
     private @Nullable EndpointConnection connection;
-    private boolean notExecuted;
+    private boolean notRun;
     private int status;
     private long sentAtMillis;
     private boolean testsBackoffEnd;
@@ -144,12 +144,12 @@
     }
 
     @Override
-    public void head(HttpResponse response, AnswerHead head) {
+    public void head(HttpResponse response, ResponseHead head) {
         status = head.status();
         record.headReceived(context.nowMillis(), head);
         reportBackoffTest(!head.notRun() && head.backoffMillis().isEmpty());
-        notExecuted = head.notRun() || status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
-        if (notExecuted) {
+        notRun = head.notRun() || status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
+        if (notRun) {
             return;
         }
         if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
@@ -166,7 +166,7 @@
 
     @Override
     public void content(ByteBuf part) {
-        if (notExecuted) {
+        if (notRun) {
             part.release();
             return;
         }
@@ -184,8 +184,8 @@
     @Override
     public void completed() {
         markEnded();
-        if (notExecuted) {
-            owner.notExecuted(this, status);
+        if (notRun) {
+            owner.provedNotRun(this, status);
         } else {
             owner.responseCompleted(this, status);
         }
@@ -198,7 +198,7 @@
             recordFailure();
         }
         long nowMillis = context.nowMillis();
-        health().broke(nowMillis);
+        health().disconnected(nowMillis);
         context.exitDetector().responseFailed(endpoint, record.fingerprint(), nowMillis - sentAtMillis, nowMillis);
         context.prober().probe(endpoint);
         owner.responseFailed(this, cause);
@@ -248,8 +248,8 @@
          */
         boolean handlesError(Attempt attempt, int status);
 
-        /** Called when the endpoint has proved that it did not execute the request. */
-        void notExecuted(Attempt attempt, int status);
+        /** Called when the endpoint has proved that it did not run the request. */
+        void provedNotRun(Attempt attempt, int status);
 
         /** Called when the response is complete. */
         void responseCompleted(Attempt attempt, int status);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffQueue.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffQueue.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Requests that wait because every endpoint that could execute them is in backoff, and the first backoff is expected to
+ * Requests that wait because every endpoint that could run them is in backoff, and the first backoff is expected to
  * end early enough for a response in time. The most urgent request is tried first, and among equally urgent requests
  * the one that has waited longest. Not thread-safe; confined to the traffic event loop.
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffWait.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/BackoffWait.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.jspecify.annotations.Nullable;
-import org.radishpass.routing.health.AnswerPatience;
+import org.radishpass.routing.health.ResponseTimes;
 import org.radishpass.routing.placement.PlacementChoice;
 
-/** Decides whether one request waits while every endpoint that could execute it is in backoff, and for how long. */
+/** Decides whether one request waits while every endpoint that could run it is in backoff, and for how long. */
 final class BackoffWait implements BackoffQueue.WaitingRequest {
     private final TrafficContext context;
     private final RequestTerms terms;
@@ -30,8 +30,8 @@
         this.history = history;
         this.owner = owner;
         long targetMillis = terms.route().targetLatencyMillis();
-        long usualMillis = context.responseTimes().usualMillis(terms.route().name());
-        long expectedResponseMillis = usualMillis == AnswerPatience.UNKNOWN ? targetMillis / 2 : usualMillis;
+        long usualMillis = context.responseTimes().medianMillis(terms.route().name());
+        long expectedResponseMillis = usualMillis == ResponseTimes.UNKNOWN ? targetMillis / 2 : usualMillis;
         this.latestSendMillis =
                 Math.min(receivedAtMillis + targetMillis - expectedResponseMillis, terms.deadlineMillis());
     }
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Returns when the first endpoint that could execute the request leaves backoff, on the monotonic clock in
+     * Returns when the first endpoint that could run the request leaves backoff, on the monotonic clock in
      * milliseconds.
      */
     long earliestEndMillis() {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerConnection.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/CallerConnection.java
@@ -275,7 +275,7 @@
      */
     private long callerTimeoutMillis(HttpRequest request) {
         try {
-            return context.dialect().decode(request).patienceMillis().orElse(Long.MAX_VALUE);
+            return context.dialect().decode(request).timeoutMillis().orElse(Long.MAX_VALUE);
         } catch (MalformedHeadException e) {
             return Long.MAX_VALUE;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ColdEndpointGuard.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ColdEndpointGuard.java
@@ -6,7 +6,7 @@
 import org.radishpass.routing.config.ColdStart;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.load.ColdStartShares;
-import org.radishpass.routing.load.SpareRoom;
+import org.radishpass.routing.load.SpareCapacity;
 
 /**
  * Limits the requests to cold endpoints, which have just started and crash under too much load. While the warm
@@ -44,8 +44,8 @@
             return candidates;
         }
         List<ServiceEndpoint> warm = warm(candidates, coldStart, nowMillis);
-        boolean warmSuffice =
-                warm.size() == candidates.size() || (!warm.isEmpty() && SpareRoom.at(warm, context.inFlight()));
+        boolean warmSuffice = warm.size() == candidates.size()
+                || (!warm.isEmpty() && SpareCapacity.existsAt(warm, context.inFlight()));
         if (warmSuffice) {
             return warm;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnection.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import org.jspecify.annotations.Nullable;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
@@ -71,7 +71,7 @@
         return usedBefore;
     }
 
-    /** Writes a request. From here on the endpoint may execute the request. */
+    /** Writes a request. From here on the endpoint may run the request. */
     void send(FullHttpRequest request, String id, ResponseListener responseListener) {
         this.listener = responseListener;
         this.requestId = id;
@@ -148,14 +148,14 @@
             skippingResponse = true;
             return;
         }
-        AnswerHead head = pool.dialect().decodeAnswer(response);
+        ResponseHead head = pool.dialect().decodeResponse(response);
         pool.headReceived(head);
-        if (!head.answers(requestId)) {
+        if (!head.matchesRequest(requestId)) {
             pool.unmatchedResponse(requestId, head);
             skippingResponse = true;
             return;
         }
-        if (head.unprovenSuccess()) {
+        if (head.unsignedSuccess()) {
             fail("successful response without the signature of the endpoint");
             return;
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnections.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointConnections.java
@@ -17,11 +17,11 @@
 import java.util.Map;
 import java.util.Set;
 import jdk.net.ExtendedSocketOptions;
-import org.radishpass.routing.dialect.AnswerHead;
 import org.radishpass.routing.dialect.RequestDialect;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.EndpointDirectory;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.HealthBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
 
 /**
  * Establishes the connections to endpoints and owns the connection pools. Confined to the traffic event loop.
@@ -45,7 +45,7 @@
 
     private final Bootstrap bootstrap;
     private final RequestDialect dialect;
-    private final HealthBook health;
+    private final EndpointHealthTracker health;
     private final EndpointSignals signals;
     private final MonotonicClock clock;
     private final Counter opened;
@@ -56,7 +56,7 @@
     EndpointConnections(
             EventLoop loop,
             RequestDialect dialect,
-            HealthBook health,
+            EndpointHealthTracker health,
             EndpointSignals signals,
             MonotonicClock clock,
             MeterRegistry metrics) {
@@ -143,7 +143,7 @@
         return retired.contains(endpointId) || !pools.containsKey(endpointId);
     }
 
-    void headReceived(ServiceEndpoint endpoint, AnswerHead head) {
+    void headReceived(ServiceEndpoint endpoint, ResponseHead head) {
         signals.headReceived(endpoint, head);
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointExitDetector.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointExitDetector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.quarantine.AtWork;
+import org.radishpass.routing.quarantine.InProgressRequest;
 import org.radishpass.routing.quarantine.RequestFingerprint;
 
 /**
@@ -37,7 +37,7 @@
      */
     void responseFailed(ServiceEndpoint endpoint, RequestFingerprint request, long inFlightMillis, long nowMillis) {
         RecentFailures failures = failuresOf(endpoint, nowMillis);
-        failures.requests.add(new AtWork(request, inFlightMillis));
+        failures.requests.add(new InProgressRequest(request, inFlightMillis));
         if (failures.refused) {
             notifyListener(endpoint, failures);
         }
@@ -82,7 +82,7 @@
     }
 
     private void notifyListener(ServiceEndpoint endpoint, RecentFailures failures) {
-        List<AtWork> unreported = List.copyOf(failures.requests);
+        List<InProgressRequest> unreported = List.copyOf(failures.requests);
         failures.requests.clear();
         if (!unreported.isEmpty()) {
             listener.endpointExited(endpoint, unreported);
@@ -96,12 +96,12 @@
          * Called when an endpoint has exited with these requests in flight. Called again for requests whose responses
          * fail after the first call.
          */
-        void endpointExited(ServiceEndpoint endpoint, List<AtWork> inFlightRequests);
+        void endpointExited(ServiceEndpoint endpoint, List<InProgressRequest> inFlightRequests);
     }
 
     /** The failures at one endpoint within the correlation period. */
     private static final class RecentFailures {
-        private final List<AtWork> requests = new ArrayList<>();
+        private final List<InProgressRequest> requests = new ArrayList<>();
         private final long firstAtMillis;
         private boolean refused;
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointFilter.java
@@ -24,7 +24,7 @@
      * reason.
      */
     List<ServiceEndpoint> notLeaving(String service) {
-        return select(view.directory().open(service), endpoint -> !leaving(endpoint));
+        return select(view.directory().accepting(service), endpoint -> !leaving(endpoint));
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointListener.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointListener.java
@@ -12,12 +12,12 @@
     /** A listener that ignores all notifications. */
     EndpointListener NONE = new EndpointListener() {
         @Override
-        public void gone(ServiceEndpoint endpoint) {
+        public void addressTakenOver(ServiceEndpoint endpoint) {
             // ignored
         }
 
         @Override
-        public void leaving(ServiceEndpoint endpoint) {
+        public void endpointLeaving(ServiceEndpoint endpoint) {
             // ignored
         }
     };
@@ -27,12 +27,12 @@
      *
      * @param endpoint the endpoint that no longer exists
      */
-    void gone(ServiceEndpoint endpoint);
+    void addressTakenOver(ServiceEndpoint endpoint);
 
     /**
      * Called when the endpoint has stated in a response that it is leaving.
      *
      * @param endpoint the endpoint
      */
-    void leaving(ServiceEndpoint endpoint);
+    void endpointLeaving(ServiceEndpoint endpoint);
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointPool.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.radishpass.routing.dialect.AnswerHead;
 import org.radishpass.routing.dialect.RequestDialect;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.health.EndpointHealth;
 import org.slf4j.Logger;
@@ -54,7 +54,7 @@
 
     /** Records that bytes were received from the endpoint. */
     void bytesReceived() {
-        health.heard(nowMillis());
+        health.bytesReceived(nowMillis());
     }
 
     /**
@@ -81,7 +81,7 @@
 
     private boolean mayReuse(boolean retryable, long nowMillis) {
         if (retryable) {
-            return nowMillis - health.heardAtMillis() <= RETRYABLE_REUSE_MILLIS;
+            return nowMillis - health.bytesReceivedAtMillis() <= RETRYABLE_REUSE_MILLIS;
         }
         EndpointConnection newest = idle.peekFirst();
         return newest != null && nowMillis - newest.usedAtMillis() <= NON_RETRYABLE_REUSE_MILLIS;
@@ -118,11 +118,11 @@
         }
     }
 
-    void headReceived(AnswerHead head) {
+    void headReceived(ResponseHead head) {
         connections.headReceived(endpoint, head);
     }
 
-    void unmatchedResponse(String expectedId, AnswerHead head) {
+    void unmatchedResponse(String expectedId, ResponseHead head) {
         connections.countUnmatchedResponse();
         LOG.warn(
                 "endpoint {} responded to request {} while {} was in flight; dropping the response",
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointProber.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointProber.java
@@ -15,7 +15,7 @@
 final class EndpointProber {
     /**
      * Milliseconds without received bytes after which an endpoint with requests in flight is probed. Engines that
-     * execute requests send an event at least every 250 ms, and plain services respond within that time.
+     * run requests send an event at least every 250 ms, and plain services respond within that time.
      */
     private static final long MAX_SILENCE_MILLIS = 400;
 
@@ -43,7 +43,7 @@
         long nowMillis = context.nowMillis();
         for (ServiceEndpoint endpoint : context.view().directory().all()) {
             EndpointHealth health = context.health().of(endpoint.id(), nowMillis);
-            if (health.takeProbe(nowMillis)) {
+            if (health.tryBeginProbe(nowMillis)) {
                 connect(endpoint, health);
             } else if (silent(endpoint, health, nowMillis)) {
                 connect(endpoint, health);
@@ -63,8 +63,8 @@
             EndpointHealth health = context.health().of(endpoint.id(), nowMillis);
             boolean sameDataCentre = endpoint.dataCentre().equals(unreachable.dataCentre());
             long recentMillis = sameDataCentre ? RECENT_SAME_DATA_CENTRE_MILLIS : RECENT_MILLIS;
-            if (!health.down() && nowMillis - health.heardAtMillis() > recentMillis) {
-                health.doubt();
+            if (!health.down() && nowMillis - health.bytesReceivedAtMillis() > recentMillis) {
+                health.markPossiblyUnreachable();
                 connect(endpoint, health);
             }
         }
@@ -99,7 +99,7 @@
 
     private boolean silent(ServiceEndpoint endpoint, EndpointHealth health, long nowMillis) {
         return !health.down()
-                && nowMillis - health.heardAtMillis() > MAX_SILENCE_MILLIS
+                && nowMillis - health.bytesReceivedAtMillis() > MAX_SILENCE_MILLIS
                 && context.exchanges().stream()
                         .anyMatch(exchange ->
                                 exchange.awaitsResponseLongerThan(endpoint.id(), MAX_SILENCE_MILLIS, nowMillis));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
@@ -5,7 +5,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.OptionalLong;
 import java.util.function.Supplier;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.EndpointDirectory;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.health.EndpointBackoffs;
@@ -72,11 +72,11 @@
     }
 
     /** Processes the head of a response, whichever request the response belongs to. */
-    void headReceived(ServiceEndpoint endpoint, AnswerHead head) {
+    void headReceived(ServiceEndpoint endpoint, ResponseHead head) {
         long nowMillis = clock.millis();
         if (head.leaving() && leaving.note(endpoint.id(), nowMillis)) {
             log.endpointLeaving(endpoint);
-            listener.leaving(endpoint);
+            listener.endpointLeaving(endpoint);
         }
         head.backoffMillis().ifPresent(millis -> rejected(endpoint, millis, nowMillis));
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Exchange.java
@@ -10,7 +10,7 @@
 import org.radishpass.core.outcome.RefusalCode;
 import org.radishpass.core.outcome.Verdict;
 import org.radishpass.routing.config.Workspace;
-import org.radishpass.routing.dialect.ForwardingHead;
+import org.radishpass.routing.dialect.ForwardingHeaders;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.quarantine.RequestFingerprint;
@@ -18,8 +18,8 @@
 /**
  * Handles one request, from its complete reception until its response is complete, refused or aborted.
  *
- * <p>A request is at one endpoint at a time. A {@link Verdict} records whether the request may have been executed. A
- * refusal that promises that the request was not executed is sent only while the verdict is {@link Verdict#NOT_RUN}.
+ * <p>A request is at one endpoint at a time. A {@link Verdict} records whether the request may have run. A
+ * refusal that promises that the request was not run is sent only while the verdict is {@link Verdict#NOT_RUN}.
  */
 final class Exchange implements Attempt.Owner, BackoffWait.Owner {
     private final TrafficContext context;
@@ -142,7 +142,7 @@
         if (history.sends() > 0) {
             pool.connect(next);
         } else {
-            pool.acquire(terms.kind().mayRunAgain(), next);
+            pool.acquire(terms.kind().retryableAfterRun(), next);
         }
     }
 
@@ -160,7 +160,7 @@
     private void retryOrGiveUp(String cause) {
         record.attemptEnded(cause);
         relay().discardPending();
-        boolean retryable = terms.kind().mayRunAgain()
+        boolean retryable = terms.kind().retryableAfterRun()
                 && (!relay().started() || terms.kind().resumes());
         if (retryable && quarantineGuard.mayBeRetried() && mayRetry()) {
             placeAndAttempt();
@@ -216,11 +216,11 @@
     }
 
     /**
-     * Retries the request at another endpoint because its endpoint is unreachable. A request that must not be executed
+     * Retries the request at another endpoint because its endpoint is unreachable. A request that must not be run
      * twice keeps waiting.
      */
     void endpointUnreachable() {
-        if (ended || attempt == null || !terms.kind().mayRunAgain()) {
+        if (ended || attempt == null || !terms.kind().retryableAfterRun()) {
             return;
         }
         ServiceEndpoint endpoint = attempt.endpoint();
@@ -307,19 +307,22 @@
         quarantineGuard.sent();
         current.markSent();
         terms.prompt().ifPresent(prompt -> context.chooser().sent(prompt, current.endpoint(), nowMillis));
-        ForwardingHead forwarding = terms.forwardingHead(
+        ForwardingHeaders forwarding = terms.forwardingHeaders(
                 current.endpoint(), terms.remainingMillis(nowMillis), relay().lastEventId(), current.cacheHolder());
         connection.send(
                 ForwardedRequest.create(request, body, context.dialect(), forwarding), terms.requestId(), current);
     }
 
     /**
-     * Retries a request that may be executed again at another endpoint, if one has capacity. The first attempt is
+     * Retries a request that may be run again at another endpoint, if one has capacity. The first attempt is
      * stopped by closing its connection.
      */
     @Override
     public void overdue(Attempt late) {
-        if (late != attempt || relay().started() || !terms.kind().mayRunAgain() || !quarantineGuard.mayBeRetried()) {
+        if (late != attempt
+                || relay().started()
+                || !terms.kind().retryableAfterRun()
+                || !quarantineGuard.mayBeRetried()) {
             return;
         }
         Optional<PlacementChoice> alternative =
@@ -341,7 +344,7 @@
     @Override
     public boolean handlesError(Attempt failed, int status) {
         boolean alternativeExists =
-                terms.kind().mayRunAgain() && context.placer().hasAlternative(terms, history, failed.endpoint());
+                terms.kind().retryableAfterRun() && context.placer().hasAlternative(terms, history, failed.endpoint());
         if (alternativeExists && mayRetry()) {
             attempt = null;
             failed.stop();
@@ -360,10 +363,10 @@
     }
 
     @Override
-    public void notExecuted(Attempt refused, int status) {
+    public void provedNotRun(Attempt refused, int status) {
         attempt = null;
         history.tried(refused.endpoint());
-        history.lastSendNotExecuted();
+        history.lastSendNotRun();
         record.attemptEnded("not run, status " + status);
         if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
             context.reportGone(refused.endpoint());
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRecord.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.outcome.Verdict;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.DirectoryOrigin;
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.quarantine.RequestFingerprint;
@@ -114,7 +114,7 @@
     }
 
     /** Records the head of a response to the current attempt. */
-    void headReceived(long nowMillis, AnswerHead head) {
+    void headReceived(long nowMillis, ResponseHead head) {
         lastStep().headAfterMillis = nowMillis - receivedAtMillis;
         lastStep().head = head;
         if (responseAfterMillis < 0 && head.status() < FIRST_ERROR_STATUS) {
@@ -152,7 +152,7 @@
         private long sentAfterMillis = -1;
         private long headAfterMillis = -1;
         private String stated = "";
-        private @Nullable AnswerHead head;
+        private @Nullable ResponseHead head;
         private @Nullable String end;
 
         private Step(PlacementChoice choice, DirectoryOrigin origin, long receivedAtMillis, long nowMillis) {
@@ -170,10 +170,10 @@
                     + origin.source() + (origin.settled() ? "" : " unsettled") + " listAge " + directoryAgeMillis
                     + " chosen " + chosenAfterMillis + " sent " + sentAfterMillis + " head " + headAfterMillis + stated
                     + choice.holder().map(holder -> " cacheFrom " + holder.id()).orElse("")
-                    + (head == null ? "" : answer(head)) + (end == null ? "" : ": " + end);
+                    + (head == null ? "" : describeResponse(head)) + (end == null ? "" : ": " + end);
         }
 
-        private static String answer(AnswerHead head) {
+        private static String describeResponse(ResponseHead head) {
             OptionalLong backoffMillis = head.backoffMillis();
             return " status " + head.status() + (head.leaving() ? " leaving" : "")
                     + (backoffMillis.isPresent() ? " retryAfter " + backoffMillis.getAsLong() : "");
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRefusal.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ExchangeRefusal.java
@@ -6,7 +6,7 @@
 import org.radishpass.core.outcome.Verdict;
 
 /**
- * Ends a request without a response from an endpoint. A refusal that promises that the request was not executed is sent
+ * Ends a request without a response from an endpoint. A refusal that promises that the request was not run is sent
  * only while the verdict is {@link Verdict#NOT_RUN}. A response that has started is aborted.
  */
 final class ExchangeRefusal {
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Refuses the request because every endpoint that could execute it is in backoff.
+     * Refuses the request because every endpoint that could run it is in backoff.
      *
      * @param endMillis when the first backoff ends, on the monotonic clock in milliseconds
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ForwardedRequest.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ForwardedRequest.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import org.radishpass.routing.dialect.ForwardingHead;
+import org.radishpass.routing.dialect.ForwardingHeaders;
 import org.radishpass.routing.dialect.RequestDialect;
 
 /** Builds the request that is forwarded to an endpoint: the request of the caller, framed by Content-Length. */
@@ -28,7 +28,7 @@
      * @param forwarding the values that the router adds
      */
     static FullHttpRequest create(
-            HttpRequest request, ByteBuf body, RequestDialect dialect, ForwardingHead forwarding) {
+            HttpRequest request, ByteBuf body, RequestDialect dialect, ForwardingHeaders forwarding) {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(request.headers());
         boolean framed = HttpUtil.isContentLengthSet(request) || HttpUtil.isTransferEncodingChunked(request);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/QuarantineGuard.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/QuarantineGuard.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.radishpass.routing.fleet.ServiceEndpoint;
+import org.radishpass.routing.quarantine.QuarantineStatus;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Standing;
 
 /**
  * Decides whether one arrival of a request may be sent to an endpoint, given that the request may be one that crashes
@@ -19,19 +19,19 @@
     private final TrafficContext context;
     private final RequestFingerprint request;
     private final String service;
-    private final Standing standingOnArrival;
+    private final QuarantineStatus statusOnArrival;
     private final List<String> failedAt = new ArrayList<>(1);
 
     QuarantineGuard(TrafficContext context, RequestFingerprint request, String service) {
         this.context = context;
         this.request = request;
         this.service = service;
-        this.standingOnArrival = standing();
+        this.statusOnArrival = status();
     }
 
     /** Tells whether the request may be sent to an endpoint now. */
     boolean admitted() {
-        return standing().admitted();
+        return status().admitted();
     }
 
     /**
@@ -42,7 +42,7 @@
     boolean mayBeRetried() {
         boolean limitReached = failedAt.size() >= MAX_FAILED_RESPONSES
                 && failedAt.stream().anyMatch(context.exitDetector()::hasExited);
-        return standingOnArrival.mayBeRepeated() && !limitReached;
+        return statusOnArrival.mayBeRetried() && !limitReached;
     }
 
     /** Records that the request is being sent. */
@@ -60,7 +60,7 @@
         context.quarantine().answered(request, service, context.nowMillis());
     }
 
-    private Standing standing() {
-        return context.quarantine().standing(request, service, context.nowMillis());
+    private QuarantineStatus status() {
+        return context.quarantine().status(request, service, context.nowMillis());
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestAssembly.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestAssembly.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Assembles a request of a caller. The request is forwarded only once it is complete, so that nothing is executed for a
+ * Assembles a request of a caller. The request is forwarded only once it is complete, so that nothing is run for a
  * caller that disconnects in between, and so that the request can be retried.
  */
 final class RequestAssembly {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestLog.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.radishpass.routing.event.LogEvent;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.quarantine.AtWork;
+import org.radishpass.routing.quarantine.InProgressRequest;
 import org.radishpass.routing.quarantine.Quarantine;
 import org.radishpass.routing.quarantine.RequestFingerprint;
 import org.slf4j.Logger;
@@ -120,7 +120,7 @@
                 LogEvent.ENDPOINT_BACK.field());
     }
 
-    void endpointExited(ServiceEndpoint endpoint, List<AtWork> inFlightRequests) {
+    void endpointExited(ServiceEndpoint endpoint, List<InProgressRequest> inFlightRequests) {
         exits.increment();
         LOG.info(
                 "the process of endpoint {} at {} has exited with {} requests of this router in flight",
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestPlacer.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import org.radishpass.core.placement.Rendezvous;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.load.SpareRoom;
+import org.radishpass.routing.load.SpareCapacity;
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.placement.PlacementQuery;
 
@@ -53,7 +53,7 @@
         List<ServiceEndpoint> open = context.filter().open(endpoint.service());
         List<ServiceEndpoint> others = new ArrayList<>(context.health().usable(open, nowMillis));
         others.removeIf(other -> other.id().equals(endpoint.id()));
-        return !context.health().doubtful(open, nowMillis) && SpareRoom.at(others, context.inFlight());
+        return !context.health().mostlyUnhealthy(open, nowMillis) && SpareCapacity.existsAt(others, context.inFlight());
     }
 
     /**
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Returns when the first backoff ends of the endpoints that could execute the request but are in backoff, on the
+     * Returns when the first backoff ends of the endpoints that could run the request but are in backoff, on the
      * monotonic clock in milliseconds; empty if there is no such endpoint.
      *
      * @param terms the terms of the request
@@ -120,7 +120,7 @@
                 new ArrayList<>(context.coldGuard().admitted(usable(filter, terms, nowMillis), terms, nowMillis));
         candidates.removeIf(endpoint -> tried.contains(endpoint.id()));
         if (sentBefore) {
-            candidates = context.health().heardLately(candidates, RECENT_ACTIVITY_MILLIS, nowMillis);
+            candidates = context.health().recentlyActive(candidates, RECENT_ACTIVITY_MILLIS, nowMillis);
         }
         List<ServiceEndpoint> sources = context.health().reachable(filter.cacheSources(terms), nowMillis);
         return context.chooser()
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestResolver.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestResolver.java
@@ -42,7 +42,9 @@
         record.requestIdentified(head.id(), configuration.get().version(), view.inForceSinceMillis());
         Resolution resolution = resolve(head, configuration.get(), record.receivedAtMillis());
         boolean denied = resolution instanceof Resolution.Refused;
-        return denied && nowMillis < view.newerExpectedUntilMillis() ? configurationOutdated() : resolution;
+        return denied && nowMillis < view.newerConfigurationExpectedUntilMillis()
+                ? configurationOutdated()
+                : resolution;
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestTerms.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RequestTerms.java
@@ -9,8 +9,8 @@
 import org.radishpass.routing.config.ServiceSpec;
 import org.radishpass.routing.config.TrafficSplit;
 import org.radishpass.routing.config.Workspace;
-import org.radishpass.routing.dialect.ForwardingHead;
-import org.radishpass.routing.dialect.PromptShape;
+import org.radishpass.routing.dialect.ForwardingHeaders;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.dialect.RequestHead;
 import org.radishpass.routing.fleet.RegionMap;
 import org.radishpass.routing.fleet.ServiceEndpoint;
@@ -26,7 +26,7 @@
  * @param workspaceSpec the workspace of the caller, or null
  * @param service the service that serves the request
  * @param serviceSpec the configuration of the service, or null if the configuration does not contain the service
- * @param promptShape the properties of the prompt, or null
+ * @param promptDescription the properties of the prompt, or null
  * @param callerLastEventId the event after which the caller wants the stream to be resumed, or null
  * @param deadlineMillis when the response must be complete, on the monotonic clock in milliseconds
  */
@@ -37,7 +37,7 @@
         @Nullable Workspace workspaceSpec,
         String service,
         @Nullable ServiceSpec serviceSpec,
-        @Nullable PromptShape promptShape,
+        @Nullable PromptDescription promptDescription,
         @Nullable String callerLastEventId,
         long deadlineMillis) {
     /** The terms of a request that has not been resolved. */
@@ -55,7 +55,7 @@
             String service,
             long receivedAtMillis) {
         long timeoutMillis =
-                Math.min(route.timeoutMillis(), head.patienceMillis().orElse(Long.MAX_VALUE));
+                Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(Long.MAX_VALUE));
         return new RequestTerms(
                 head.id(),
                 head.host(),
@@ -63,7 +63,7 @@
                 workspace.orElse(null),
                 service,
                 spec.orElse(null),
-                head.promptShape(),
+                head.promptDescription(),
                 head.lastEventId(),
                 receivedAtMillis + timeoutMillis);
     }
@@ -76,8 +76,8 @@
         return Math.max(1, route.maxAttempts());
     }
 
-    Optional<PromptShape> prompt() {
-        return route.promptAffinity() ? Optional.ofNullable(promptShape) : Optional.empty();
+    Optional<PromptDescription> prompt() {
+        return route.promptAffinity() ? Optional.ofNullable(promptDescription) : Optional.empty();
     }
 
     /** Returns the maximum number of tokens that the request occupies in the memory of an engine. */
@@ -118,20 +118,21 @@
     }
 
     /**
-     * Tells whether the request may be executed in a data centre. If both the route and the workspace restrict the
+     * Tells whether the request may be run in a data centre. If both the route and the workspace restrict the
      * regions, both restrictions apply.
      */
     boolean mayRunIn(DataCentre dataCentre, RegionMap regions) {
-        boolean byRoute = regions.within(dataCentre, route.allowedRegions());
-        return byRoute && (workspaceSpec == null || regions.within(dataCentre, workspaceSpec.allowedRegions()));
+        boolean byRoute = regions.inAllowedRegion(dataCentre, route.allowedRegions());
+        return byRoute
+                && (workspaceSpec == null || regions.inAllowedRegion(dataCentre, workspaceSpec.allowedRegions()));
     }
 
-    ForwardingHead forwardingHead(
+    ForwardingHeaders forwardingHeaders(
             ServiceEndpoint endpoint,
             long remainingMillis,
             Optional<String> resumeAfter,
             @Nullable ServiceEndpoint cacheHolder) {
-        return new ForwardingHead(
+        return new ForwardingHeaders(
                 endpoint.name(),
                 remainingMillis,
                 urgency(),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Resolution.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/Resolution.java
@@ -12,7 +12,7 @@
     record Resolved(RequestTerms terms) implements Resolution {}
 
     /**
-     * The request is refused and was not executed.
+     * The request is refused and was not run.
      *
      * @param code the reason
      * @param detail a sentence that describes the reason
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseListener.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseListener.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 
 /**
  * Receives the response to a request that was written to an endpoint. Called on the traffic event loop. No call follows
@@ -10,7 +10,7 @@
  */
 interface ResponseListener {
     /** Called when the head of the response to this request was received. */
-    void head(HttpResponse response, AnswerHead head);
+    void head(HttpResponse response, ResponseHead head);
 
     /** Called with a part of the body, which the listener must release. */
     void content(ByteBuf part);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseTimer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/ResponseTimer.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.radishpass.routing.config.Route;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
+import org.radishpass.routing.health.ResponseTimes;
 
 /**
  * Measures the time until the response to one attempt starts. Each measurement updates the usual response time of the
@@ -51,15 +51,15 @@
      */
     void start(long receivedAtMillis) {
         sentAtMillis = context.nowMillis();
-        slowTimer = schedule(context.responseTimes().millis(route.name()), this::recordSlow);
-        long retryAfterMillis = context.responseTimes().secondTryMillis(route.name(), route.targetLatencyMillis());
-        if (retryAfterMillis != AnswerPatience.UNKNOWN) {
+        slowTimer = schedule(context.responseTimes().slowThresholdMillis(route.name()), this::recordSlow);
+        long retryAfterMillis = context.responseTimes().secondAttemptMillis(route.name(), route.targetLatencyMillis());
+        if (retryAfterMillis != ResponseTimes.UNKNOWN) {
             retryTimer = schedule(retryAfterMillis - (sentAtMillis - receivedAtMillis), retryElsewhere);
         }
     }
 
     private @Nullable Future<?> schedule(long millis, Runnable task) {
-        if (millis == AnswerPatience.UNKNOWN) {
+        if (millis == ResponseTimes.UNKNOWN) {
             return null;
         }
         long dueAtMillis = context.nowMillis() + millis;
@@ -77,9 +77,9 @@
     /** Records the response time. Called when a successful response starts. */
     void responseStarted() {
         stop();
-        context.responseTimes().note(route.name(), (double) (context.nowMillis() - sentAtMillis));
+        context.responseTimes().record(route.name(), (double) (context.nowMillis() - sentAtMillis));
         if (!slow) {
-            context.health().of(endpoint.id(), context.nowMillis()).answeredInTime();
+            context.health().of(endpoint.id(), context.nowMillis()).respondedInTime();
         }
     }
 
@@ -98,8 +98,8 @@
     private void recordSlow() {
         slow = true;
         if (context.placer().othersHaveCapacity(endpoint)
-                && context.health().of(endpoint.id(), context.nowMillis()).answeredSlowly(context.nowMillis())) {
-            context.requestLog().endpointSlow(endpoint, context.responseTimes().millis(route.name()));
+                && context.health().of(endpoint.id(), context.nowMillis()).respondedSlowly(context.nowMillis())) {
+            context.requestLog().endpointSlow(endpoint, context.responseTimes().slowThresholdMillis(route.name()));
         }
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RetryDelay.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RetryDelay.java
@@ -4,9 +4,9 @@
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.outcome.RefusalCode;
 
-/** The delay after which a caller should retry a request that was not executed. */
+/** The delay after which a caller should retry a request that was not run. */
 enum RetryDelay {
-    /** A retry is pointless, or it is unknown whether the request was executed. */
+    /** A retry is pointless, or it is unknown whether the request was run. */
     NONE(0),
     /** Immediately, since another router accepts the request. */
     OTHER_ROUTER(10),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RoutingView.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/RoutingView.java
@@ -13,14 +13,14 @@
  * An immutable snapshot of the configuration and the endpoints as known to the control plane, published to the traffic
  * event loop as a whole.
  *
- * @param published the configuration in force, or null before the first one is known
+ * @param configurationInForce the configuration in force, or null before the first one is known
  * @param inForceSinceMillis since when the configuration is in force at this router, on the monotonic clock in
  *     milliseconds
- * @param newerExpectedUntilMillis until when a newer configuration that is known to exist is expected, on the monotonic
+ * @param newerConfigurationExpectedUntilMillis until when a newer configuration that is known to exist is expected, on the monotonic
  *     clock in milliseconds; a time in the past if there is none
  * @param directory the endpoints
  * @param directoryKnown whether an endpoint list has been read
- * @param arriving whether the missing part of the view is being received, that is, a part of the data has arrived
+ * @param receiving whether the missing part of the view is being received, that is, a part of the data has arrived
  *     recently
  * @param origin the origin of the endpoint list
  * @param routers the number of registered routers, including this one; {@link #ROUTERS_UNKNOWN} before peers are known
@@ -29,12 +29,12 @@
  * @since 0.2.0
  */
 public record RoutingView(
-        @Nullable RoutingConfiguration published,
+        @Nullable RoutingConfiguration configurationInForce,
         long inForceSinceMillis,
-        long newerExpectedUntilMillis,
+        long newerConfigurationExpectedUntilMillis,
         EndpointDirectory directory,
         boolean directoryKnown,
-        boolean arriving,
+        boolean receiving,
         DirectoryOrigin origin,
         int routers,
         EndpointEligibility eligibility,
@@ -48,20 +48,20 @@
 
     /** Creates a view without restrictions on endpoints, in which the other routers are not known by name. */
     public RoutingView(
-            @Nullable RoutingConfiguration published,
+            @Nullable RoutingConfiguration configurationInForce,
             long inForceSinceMillis,
             EndpointDirectory directory,
             boolean directoryKnown,
-            boolean arriving,
+            boolean receiving,
             DirectoryOrigin origin,
             int routers) {
         this(
-                published,
+                configurationInForce,
                 inForceSinceMillis,
                 Long.MIN_VALUE,
                 directory,
                 directoryKnown,
-                arriving,
+                receiving,
                 origin,
                 routers,
                 EndpointEligibility.ALL,
@@ -70,16 +70,16 @@
 
     /** Returns the configuration in force. */
     public Optional<RoutingConfiguration> configuration() {
-        return Optional.ofNullable(published);
+        return Optional.ofNullable(configurationInForce);
     }
 
     /** Returns the limits on what callers may send. */
     public CallerLimits limits() {
-        return published == null ? CallerLimits.DEFAULT : published.limits();
+        return configurationInForce == null ? CallerLimits.DEFAULT : configurationInForce.limits();
     }
 
     /** Tells whether requests can be routed, that is, a configuration and an endpoint list are known. */
     public boolean complete() {
-        return published != null && directoryKnown;
+        return configurationInForce != null && directoryKnown;
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
@@ -5,7 +5,7 @@
 import org.radishpass.core.outcome.Verdict;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
-/** The endpoints that one request was sent to, and whether the request may have been executed. */
+/** The endpoints that one request was sent to, and whether the request may have run. */
 final class SendHistory {
     /**
      * Maximum number of rejections after which the request is still sent once more. By then most endpoints of the
@@ -20,7 +20,7 @@
     private int rejections;
     private long lastSentAtMillis;
 
-    /** Records that the request is being sent. From here on the endpoint may execute the request. */
+    /** Records that the request is being sent. From here on the endpoint may run the request. */
     void sent(long nowMillis) {
         sends++;
         lastSentAtMillis = nowMillis;
@@ -28,8 +28,8 @@
         verdict = verdict.and(Verdict.MAY_HAVE_RUN);
     }
 
-    /** Records that the last endpoint has proved that it did not execute the request. */
-    void lastSendNotExecuted() {
+    /** Records that the last endpoint has proved that it did not run the request. */
+    void lastSendNotRun() {
         verdict = verdictBeforeLast;
         rejections++;
     }
@@ -44,21 +44,21 @@
         return triedEndpoints;
     }
 
-    /** Returns whether the request may have been executed. */
+    /** Returns whether the request may have run. */
     Verdict verdict() {
         return verdict;
     }
 
-    /** Tells whether the request has certainly not been executed. */
+    /** Tells whether the request has certainly not run. */
     boolean notRun() {
         return verdict == Verdict.NOT_RUN;
     }
 
     /**
-     * Tells whether the request may be sent again. A send that the endpoint provably did not execute does not count
+     * Tells whether the request may be sent again. A send that the endpoint provably did not run does not count
      * against the attempts of the route, but the number of such rejections is limited.
      *
-     * @param maxAttempts the maximum number of endpoints that may execute the request
+     * @param maxAttempts the maximum number of endpoints that may run the request
      */
     boolean maySendAgain(int maxAttempts) {
         return sends - rejections < maxAttempts && rejections <= MAX_REJECTIONS;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficContext.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficContext.java
@@ -8,11 +8,11 @@
 import java.util.function.Supplier;
 import org.radishpass.routing.dialect.RequestDialect;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
-import org.radishpass.routing.health.HealthBook;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
+import org.radishpass.routing.health.ResponseTimes;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.placement.EndpointChooser;
-import org.radishpass.routing.quarantine.AtWork;
+import org.radishpass.routing.quarantine.InProgressRequest;
 import org.radishpass.routing.quarantine.Quarantine;
 import org.radishpass.routing.retry.SharedRetryBudget;
 import org.slf4j.Logger;
@@ -38,8 +38,8 @@
     private final EndpointConnections connections;
     private final EndpointSignals signals;
     private final EndpointChooser chooser;
-    private final InFlightBook inFlight;
-    private final HealthBook health;
+    private final InFlightTracker inFlight;
+    private final EndpointHealthTracker health;
     private final SharedRetryBudget retryBudget;
     private final RequestLog requestLog;
     private final EndpointListener listener;
@@ -51,7 +51,7 @@
     private final EndpointProber prober = new EndpointProber(this);
     private final EndpointExitDetector exitDetector = new EndpointExitDetector(this::endpointExited);
     private final Quarantine quarantine;
-    private final AnswerPatience responseTimes = new AnswerPatience();
+    private final ResponseTimes responseTimes = new ResponseTimes();
     private final ArrivalQueue arrivalQueue;
     private final HeldArrivals heldArrivals;
     private final BackoffQueue backoffQueue;
@@ -67,8 +67,8 @@
             EndpointConnections connections,
             EndpointSignals signals,
             EndpointChooser chooser,
-            InFlightBook inFlight,
-            HealthBook health,
+            InFlightTracker inFlight,
+            EndpointHealthTracker health,
             SharedRetryBudget retryBudget,
             RequestLog requestLog,
             EndpointListener listener) {
@@ -164,15 +164,15 @@
         return chooser;
     }
 
-    InFlightBook inFlight() {
+    InFlightTracker inFlight() {
         return inFlight;
     }
 
-    HealthBook health() {
+    EndpointHealthTracker health() {
         return health;
     }
 
-    AnswerPatience responseTimes() {
+    ResponseTimes responseTimes() {
         return responseTimes;
     }
 
@@ -193,10 +193,10 @@
      * Handles the exit of an endpoint. The exit of an endpoint that had announced that it is leaving is regular, and
      * does not make the requests in flight there suspicious.
      */
-    private void endpointExited(ServiceEndpoint endpoint, List<AtWork> inFlightRequests) {
+    private void endpointExited(ServiceEndpoint endpoint, List<InProgressRequest> inFlightRequests) {
         requestLog.endpointExited(endpoint, inFlightRequests);
         if (!filter().leaving(endpoint)) {
-            quarantine.ended(endpoint.service(), endpoint.hash(), inFlightRequests, nowMillis());
+            quarantine.endpointCrashed(endpoint.service(), endpoint.hash(), inFlightRequests, nowMillis());
         }
     }
 
@@ -230,7 +230,7 @@
 
     private boolean awaitsConfiguration() {
         RoutingView view = view();
-        return !view.complete() && view.arriving() && !stopped;
+        return !view.complete() && view.receiving() && !stopped;
     }
 
     RequestLog requestLog() {
@@ -239,7 +239,7 @@
 
     /** Notifies the control plane that another process has taken over the address of an endpoint. */
     void reportGone(ServiceEndpoint endpoint) {
-        listener.gone(endpoint);
+        listener.addressTakenOver(endpoint);
     }
 
     Set<CallerConnection> callers() {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficServer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/TrafficServer.java
@@ -21,18 +21,18 @@
 import org.radishpass.core.fleet.DataCentre;
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.dialect.RequestDialect;
-import org.radishpass.routing.health.HealthBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
 import org.radishpass.routing.load.ColdStartAllowance;
 import org.radishpass.routing.load.InFlight;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.load.WorkReport;
-import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.load.WorkReportExchange;
 import org.radishpass.routing.placement.EndpointChooser;
 import org.radishpass.routing.quarantine.Quarantine;
 import org.radishpass.routing.quarantine.Suspect;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectListener;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 import org.radishpass.routing.retry.RetryAllowance;
 import org.radishpass.routing.retry.SharedRetryBudget;
 
@@ -42,7 +42,7 @@
  *
  * @since 0.2.0
  */
-public final class TrafficServer implements WorkSource, SuspectSource {
+public final class TrafficServer implements WorkReportExchange, SuspectExchange {
     /**
      * Milliseconds between checks for endpoints to probe; a fraction of the silence after which an endpoint is probed.
      */
@@ -57,8 +57,8 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final Supplier<RoutingView> views;
-    private final InFlightBook inFlight = new InFlightBook();
-    private final HealthBook health = new HealthBook();
+    private final InFlightTracker inFlight = new InFlightTracker();
+    private final EndpointHealthTracker health = new EndpointHealthTracker();
     private final SharedRetryBudget retryBudget;
     private final EndpointSignals signals;
     private final EndpointConnections connections;
@@ -112,7 +112,7 @@
                 .description(
                         "requests that wait for the end of a backoff because an endpoint is expected to take them in time")
                 .register(metrics);
-        Gauge.builder("radishpass.requests.quarantined", context.quarantine(), Quarantine::held)
+        Gauge.builder("radishpass.requests.quarantined", context.quarantine(), Quarantine::causeCount)
                 .description("different requests that are refused because endpoints end when they run them")
                 .register(metrics);
     }
@@ -178,15 +178,15 @@
      * @param millis the maximum backoff, in milliseconds
      * @since 0.6.0
      */
-    public void longestBackoffMillis(long millis) {
-        loop.execute(() -> signals.backoffs().longestMillis(millis));
+    public void maxBackoffMillis(long millis) {
+        loop.execute(() -> signals.backoffs().maxBackoffMillis(millis));
     }
 
     @Override
-    public void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing) {
+    public void recordPeerReport(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing) {
         loop.execute(() -> {
-            inFlight.peerTold(peerId, scope, work, clock.millis());
-            health.saidToFail(failing, scope, clock.millis());
+            inFlight.recordPeerReport(peerId, scope, work, clock.millis());
+            health.recordReportedFailing(failing, scope, clock.millis());
         });
     }
 
@@ -201,9 +201,9 @@
     }
 
     @Override
-    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
+    public void mergeSuspects(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
         loop.execute(() -> {
-            SuspectReport unknown = context.quarantine().told(report, origin, clock.millis());
+            SuspectReport unknown = context.quarantine().merge(report, origin, clock.millis());
             if (!unknown.isEmpty()) {
                 newSuspects.accept(unknown);
             }
@@ -211,8 +211,8 @@
     }
 
     @Override
-    public void suspectsRestored(List<Suspect> suspects) {
-        loop.execute(() -> context.quarantine().restored(suspects, clock.millis()));
+    public void mergeStoredSuspects(List<Suspect> suspects) {
+        loop.execute(() -> context.quarantine().mergeStored(suspects, clock.millis()));
     }
 
     @Override
@@ -221,8 +221,8 @@
     }
 
     @Override
-    public void onSuspects(SuspectListener listener) {
-        loop.execute(() -> context.quarantine().onNews(listener));
+    public void setSuspectListener(SuspectListener listener) {
+        loop.execute(() -> context.quarantine().setSuspectListener(listener));
     }
 
     private WorkReport report(List<String> members) {
@@ -241,7 +241,7 @@
      * Closes each connection after its next response from now on. Idle connections are closed later by {@link
      * #closeIdle}.
      */
-    public void stopping() {
+    public void closeAfterResponses() {
         loop.execute(context::markStopping);
     }
 
@@ -261,7 +261,7 @@
      * @param whenStopped called on the traffic event loop when the server has stopped, with the number of requests in
      *     progress
      */
-    public void endIfIdle(boolean force, IntConsumer whenStopped) {
+    public void stopIfIdle(boolean force, IntConsumer whenStopped) {
         loop.execute(() -> {
             int active = context.exchanges().size();
             if (active > 0 && !force) {
@@ -288,7 +288,7 @@
     private void cleanUp() {
         RoutingView view = views.get();
         long nowMillis = clock.millis();
-        inFlight.forgetSilentPeers(nowMillis);
+        inFlight.removeExpiredReports(nowMillis);
         connections.closeUnusable(view.directory());
         health.retain(view.directory());
         signals.retain(view.directory());
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ColdEndpointsTest.java
@@ -38,7 +38,7 @@
 
     @Test
     void coldPeriodOfAnEntryIsUsed() {
-        read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500), endpoint("warm", "s"));
+        read(1_000, endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 3_500), endpoint("warm", "s"));
         assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_000)).containsExactly("e", 3_500L);
         assertThat(cold.coldUntilMillisById(CONFIGURATION, 3_502))
                 .isEmpty(); // the clocks drift apart by up to 0.5 ms in 2.5 s
@@ -46,7 +46,7 @@
 
     @Test
     void endpointsOfServicesWithoutColdStartAreNeverCold() {
-        read(1_000, endpoint("e", "plain").coldUntil(STORE_AHEAD_MILLIS + 3_500));
+        read(1_000, endpoint("e", "plain").withColdUntil(STORE_AHEAD_MILLIS + 3_500));
         assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_000)).isEmpty();
     }
 
@@ -56,19 +56,19 @@
      */
     @Test
     void coldEndIsStableAcrossReads() {
-        read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500));
+        read(1_000, endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 3_500));
         long hash = directory.hash();
-        read(1_850, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 4_350));
+        read(1_850, endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 4_350));
         assertThat(cold.coldUntilMillisById(CONFIGURATION, 1_850)).containsExactly("e", 3_500L);
         assertThat(directory.hash()).isEqualTo(hash);
     }
 
     @Test
     void newColdPeriodIsDetectedAndChangesTheHash() {
-        read(1_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500));
+        read(1_000, endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 3_500));
         read(5_000, endpoint("e", "s"));
         long warmHash = directory.hash();
-        read(9_000, endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 11_000));
+        read(9_000, endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 11_000));
         assertThat(cold.coldUntilMillisById(CONFIGURATION, 9_000)).containsExactly("e", 11_000L);
         assertThat(directory.hash()).isNotEqualTo(warmHash);
     }
@@ -96,7 +96,7 @@
 
     @Test
     void coldEndIsSentToPeers() throws IOException {
-        ServiceEndpoint coldEndpoint = endpoint("e", "s").coldUntil(STORE_AHEAD_MILLIS + 3_500);
+        ServiceEndpoint coldEndpoint = endpoint("e", "s").withColdUntil(STORE_AHEAD_MILLIS + 3_500);
         EndpointSnapshot list =
                 new EndpointSnapshot(new EndpointListVersion(at(3), 51_000, true), List.of(coldEndpoint), Set.of());
         assertThat(EndpointListCodec.decode(EndpointListCodec.encode(list)).endpoints())
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -40,7 +40,7 @@
 
     /** Registers an incarnation of an endpoint, with its start time. */
     void registerIncarnation(String name, long startedAtMillis) {
-        register(endpoint(name).startedAs(new Incarnation(startedAtMillis)));
+        register(endpoint(name).withIncarnation(new Incarnation(startedAtMillis)));
     }
 
     void register(ServiceEndpoint endpoint) {
@@ -187,7 +187,7 @@
 
         /** Returns the ids of the incarnations that may receive requests. */
         List<String> servingIds() {
-            return tracker.directory().open(SERVICE).stream()
+            return tracker.directory().accepting(SERVICE).stream()
                     .map(ServiceEndpoint::id)
                     .toList();
         }
@@ -205,7 +205,7 @@
 
         /** Tells whether an incarnation may receive requests. */
         boolean sendsTo(String endpointId) {
-            return tracker.directory().open(SERVICE).stream()
+            return tracker.directory().accepting(SERVICE).stream()
                     .anyMatch(endpoint -> endpoint.id().equals(endpointId));
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryTrackerTest.java
@@ -38,7 +38,7 @@
     void leavingEndpointNeverBecomesAvailableAgain() {
         listed(tracker, 1, List.of(endpoint("a").asLeaving()), 10_000);
         listed(tracker, 2, List.of(endpoint("a")), 11_000);
-        assertThat(tracker.directory().open("orders")).isEmpty();
+        assertThat(tracker.directory().accepting("orders")).isEmpty();
     }
 
     @Test
@@ -55,7 +55,7 @@
         assertThat(listed(
                         tracker, new StorePosition(2, 3), List.of(endpoint("a").asLeaving()), 11_000))
                 .isTrue();
-        assertThat(tracker.directory().open("orders")).isEmpty();
+        assertThat(tracker.directory().accepting("orders")).isEmpty();
         assertThat(listed(tracker, 9, List.of(endpoint("b")), 12_000)).isFalse();
         assertThat(listed(tracker, new StorePosition(2, 2), List.of(endpoint("b")), 12_000))
                 .isFalse();
@@ -90,7 +90,7 @@
                 Set.of());
         assertThat(tracker.applyPeerList(restored, 12_600, "peer")).isTrue();
         assertThat(tracker.directory().find("b").isPresent()).isTrue();
-        assertThat(tracker.directory().open("orders")).containsExactly(endpoint("b"));
+        assertThat(tracker.directory().accepting("orders")).containsExactly(endpoint("b"));
 
         EndpointSnapshot earlier =
                 new EndpointSnapshot(new EndpointListVersion(at(9), 12_700, true), List.of(endpoint("c")), Set.of());
@@ -114,7 +114,7 @@
         listed(tracker, 5, List.of(endpoint("a")), 10_000);
         assertThat(peerListed(5, List.of(), 10_500)).isFalse();
         assertThat(peerListed(6, List.of(endpoint("a").asLeaving()), 10_500)).isTrue();
-        assertThat(tracker.directory().open("orders")).isEmpty();
+        assertThat(tracker.directory().accepting("orders")).isEmpty();
     }
 
     @Test
@@ -173,7 +173,7 @@
         assertThat(tracker.addressTakenOver("a")).isTrue();
         assertThat(tracker.addressTakenOver("a")).isFalse();
         listed(tracker, 6, List.of(endpoint("a")), 11_000);
-        assertThat(tracker.directory().open("orders")).isEmpty();
+        assertThat(tracker.directory().accepting("orders")).isEmpty();
     }
 
     /** Applies a read; the store's clock shows the same time as the router's clock. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/EndpointIncarnationsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/EndpointIncarnationsTest.java
@@ -81,7 +81,7 @@
     void newIncarnationMayHaveAnotherAddressServiceAndDataCentre() throws IOException {
         ServiceEndpoint moved = new ServiceEndpoint(
                         "a", "plans", new Address("10.9.9.9", 81), new DataCentre("there"), 2, false)
-                .startedAs(new Incarnation(2_000));
+                .withIncarnation(new Incarnation(2_000));
         fleet.register(moved);
         readStore(first);
         assertThat(first.servingIds()).isEmpty();
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.radishpass.routing.quarantine.QuarantineStatus;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Standing;
 
 /**
  * Checks in virtual time that all routers soon know of a request that crashes its endpoints, including routers that
@@ -35,11 +35,11 @@
         fleet.advance(DISTRIBUTION_TIME);
         routers.get(count / 2).suspects().endedUnder(REQUEST, 2);
         fleet.advance(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
 
         routers.get(0).suspects().answered(REQUEST);
         fleet.advance(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.CLEAR);
     }
 
     @ParameterizedTest
@@ -54,7 +54,7 @@
 
         fleet.restart(count - 1);
         fleet.advance(Duration.ofSeconds(2));
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
     }
 
     /** After all routers have lost power, only the store still has the quarantine. */
@@ -68,13 +68,13 @@
         fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
         fleet.advance(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
 
         List.copyOf(fleet.routers()).get(4).suspects().answered(REQUEST);
         fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
         fleet.advance(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.CLEAR);
     }
 
     private static VirtualFleet started(int count) {
@@ -85,9 +85,9 @@
         return fleet;
     }
 
-    private static List<Standing> standings(VirtualFleet fleet) {
+    private static List<QuarantineStatus> statuses(VirtualFleet fleet) {
         return fleet.routers().stream()
-                .map(router -> router.suspects().standing(REQUEST))
+                .map(router -> router.suspects().status(REQUEST))
                 .distinct()
                 .toList();
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
@@ -27,9 +27,9 @@
 import org.radishpass.routing.fleet.FleetRouter;
 import org.radishpass.routing.fleet.RegionMap;
 import org.radishpass.routing.load.InFlight;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.load.WorkReport;
-import org.radishpass.routing.load.WorkSource;
+import org.radishpass.routing.load.WorkReportExchange;
 import org.radishpass.routing.testing.VirtualProcess;
 import org.radishpass.runtime.thread.ControlThread;
 import reactor.core.publisher.Mono;
@@ -289,25 +289,26 @@
     }
 
     /** Reports one request in flight at one endpoint, as the traffic side would. */
-    private final class Work implements WorkSource {
-        private final InFlightBook book = new InFlightBook();
+    private final class Work implements WorkReportExchange {
+        private final InFlightTracker inFlight = new InFlightTracker();
 
         private Work() {
-            book.started("endpoint-" + self.id(), 1);
+            inFlight.started("endpoint-" + self.id(), 1);
         }
 
         @Override
-        public void peerTold(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing) {
-            book.peerTold(peerId, scope, work, fleet.scheduler().millis());
+        public void recordPeerReport(String peerId, WorkScope scope, Map<String, InFlight> work, List<String> failing) {
+            inFlight.recordPeerReport(peerId, scope, work, fleet.scheduler().millis());
         }
 
         @Override
         public void workReport(List<String> members, boolean always, Consumer<WorkReport> taker) {
-            boolean changed = !book.takeChanges().isEmpty();
+            boolean changed = !inFlight.takeChanges().isEmpty();
             if (changed || always || !members.isEmpty()) {
                 Map<String, Map<String, InFlight>> withoutMember = new LinkedHashMap<>();
-                members.forEach(id -> withoutMember.put(id, book.workWithout(id)));
-                taker.accept(new WorkReport(book.ownWork(), book.groupWork(), withoutMember, List.of(), List.of()));
+                members.forEach(id -> withoutMember.put(id, inFlight.workWithout(id)));
+                taker.accept(
+                        new WorkReport(inFlight.ownWork(), inFlight.groupWork(), withoutMember, List.of(), List.of()));
             }
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualSuspects.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualSuspects.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.radishpass.routing.quarantine.AtWork;
+import org.radishpass.routing.quarantine.InProgressRequest;
 import org.radishpass.routing.quarantine.Quarantine;
+import org.radishpass.routing.quarantine.QuarantineStatus;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Standing;
 import org.radishpass.routing.quarantine.Suspect;
+import org.radishpass.routing.quarantine.SuspectExchange;
 import org.radishpass.routing.quarantine.SuspectListener;
 import org.radishpass.routing.quarantine.SuspectReport;
-import org.radishpass.routing.quarantine.SuspectSource;
 
 /**
  * Simulates the part of a router's traffic side that deals with requests that are suspected of crashing their
  * endpoints.
  */
-final class VirtualSuspects implements SuspectSource, Quarantine.Listener {
+final class VirtualSuspects implements SuspectExchange, Quarantine.Listener {
     private static final String SERVICE = "orders";
 
     private final LongSupplier clock;
@@ -28,7 +28,8 @@
 
     /** Simulates an endpoint that ends 100 ms after this router sent it a request. */
     void endedUnder(RequestFingerprint request, long endpointHash) {
-        quarantine.ended(SERVICE, endpointHash, List.of(new AtWork(request, 100)), clock.getAsLong());
+        quarantine.endpointCrashed(
+                SERVICE, endpointHash, List.of(new InProgressRequest(request, 100)), clock.getAsLong());
     }
 
     /** Simulates an answer to a request at this router. */
@@ -36,21 +37,21 @@
         quarantine.answered(request, SERVICE, clock.getAsLong());
     }
 
-    Standing standing(RequestFingerprint request) {
-        return quarantine.standing(request, SERVICE, clock.getAsLong());
+    QuarantineStatus status(RequestFingerprint request) {
+        return quarantine.status(request, SERVICE, clock.getAsLong());
     }
 
     @Override
-    public void suspectsTold(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
-        SuspectReport added = quarantine.told(report, origin, clock.getAsLong());
+    public void mergeSuspects(SuspectReport report, String origin, Consumer<SuspectReport> newSuspects) {
+        SuspectReport added = quarantine.merge(report, origin, clock.getAsLong());
         if (!added.isEmpty()) {
             newSuspects.accept(added);
         }
     }
 
     @Override
-    public void suspectsRestored(List<Suspect> suspects) {
-        quarantine.restored(suspects, clock.getAsLong());
+    public void mergeStoredSuspects(List<Suspect> suspects) {
+        quarantine.mergeStored(suspects, clock.getAsLong());
     }
 
     @Override
@@ -59,22 +60,22 @@
     }
 
     @Override
-    public void onSuspects(SuspectListener listener) {
-        quarantine.onNews(listener);
+    public void setSuspectListener(SuspectListener listener) {
+        quarantine.setSuspectListener(listener);
     }
 
     @Override
-    public void quarantined(RequestFingerprint request, int ends, String origin) {
-        // nothing to do: tests query the standing
+    public void quarantined(RequestFingerprint request, int crashes, String origin) {
+        // nothing to do: tests query the status
     }
 
     @Override
-    public void tried(RequestFingerprint request, int ends) {
-        // nothing to do: tests query the standing
+    public void tried(RequestFingerprint request, int crashes) {
+        // nothing to do: tests query the status
     }
 
     @Override
-    public void cleared(RequestFingerprint request, int ends) {
-        // nothing to do: tests query the standing
+    public void cleared(RequestFingerprint request, int crashes) {
+        // nothing to do: tests query the status
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/placement/EndpointChooserTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/placement/EndpointChooserTest.java
@@ -15,16 +15,16 @@
 import org.radishpass.core.fleet.Address;
 import org.radishpass.core.fleet.DataCentre;
 import org.radishpass.core.placement.Rendezvous;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.dialect.PromptPart;
-import org.radishpass.routing.dialect.PromptShape;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.load.LoadLimit;
 
 /** Tests the choice of endpoints by prompt affinity, load limit and data centre. */
 final class EndpointChooserTest {
-    private final InFlightBook book = new InFlightBook();
-    private final EndpointChooser chooser = new EndpointChooser(book, new DataCentre("dc-0"));
+    private final InFlightTracker inFlight = new InFlightTracker();
+    private final EndpointChooser chooser = new EndpointChooser(inFlight, new DataCentre("dc-0"));
     private final List<ServiceEndpoint> endpoints = endpoints(8);
 
     @Test
@@ -71,11 +71,11 @@
     void candidatesStayWithinTheLimitOfTheWholeServiceWhileOtherEndpointsAreDrained(int open) {
         List<ServiceEndpoint> candidates = endpoints.subList(0, open);
         for (int request = 1; request <= 400; request++) {
-            PromptShape prompt = prompt(request % 3 == 0 ? "hot" : "subject-" + request % 20, request);
+            PromptDescription prompt = prompt(request % 3 == 0 ? "hot" : "subject-" + request % 20, request);
             PlacementChoice choice = choose(candidates, prompt);
             double mean = (double) request / endpoints.size();
             assertThat((double) choice.load()).isAtMost(2 * mean + 3);
-            book.started(choice.endpoint().id(), 10);
+            inFlight.started(choice.endpoint().id(), 10);
         }
     }
 
@@ -83,11 +83,11 @@
     void aFrequentPromptNeverLoadsAnEndpointAboveTheLimit() {
         for (int request = 0; request < 400; request++) {
             PlacementChoice choice = choose(endpoints, prompt("hot", request));
-            assertThat((double) choice.load()).isAtMost(LoadLimit.PROMPT_AFFINITY.requests(endpoints, book));
-            book.started(choice.endpoint().id(), 10);
+            assertThat((double) choice.load()).isAtMost(LoadLimit.PROMPT_AFFINITY.requests(endpoints, inFlight));
+            inFlight.started(choice.endpoint().id(), 10);
         }
         for (ServiceEndpoint endpoint : endpoints) {
-            assertThat((double) book.at(endpoint.id()).requests()).isAtMost(2 * 50.0 + 3);
+            assertThat((double) inFlight.at(endpoint.id()).requests()).isAtMost(2 * 50.0 + 3);
         }
     }
 
@@ -95,7 +95,7 @@
     void anEndpointThatTakesOverAPromptIsToldWhichEndpointCachesIt() {
         PlacementChoice first = choose(endpoints, prompt("subject", 0));
         for (int request = 0; request < 10; request++) {
-            book.started(first.endpoint().id(), 1);
+            inFlight.started(first.endpoint().id(), 1);
         }
         PlacementChoice second = choose(endpoints, prompt("subject", 1));
         PlacementChoice third = choose(endpoints, prompt("subject", 2));
@@ -109,7 +109,7 @@
 
     @Test
     void requestsWithoutAPromptGoToTheLeastLoadedEndpoint() {
-        endpoints.subList(0, 7).forEach(endpoint -> book.started(endpoint.id(), 0));
+        endpoints.subList(0, 7).forEach(endpoint -> inFlight.started(endpoint.id(), 0));
         PlacementChoice choice = chooser.choose(queryWithoutPrompt(42)).orElseThrow();
         assertThat(choice.endpoint().id()).isEqualTo("e7");
     }
@@ -131,7 +131,7 @@
     @Test
     void routersOfALargeFleetDoNotAllChooseTheLeastLoadedEndpoint() {
         for (int number = 1; number < endpoints.size(); number++) {
-            book.started(endpoints.get(number).id(), 0);
+            inFlight.started(endpoints.get(number).id(), 0);
         }
         Map<String, Integer> sent = new HashMap<>();
         for (int request = 0; request < 800; request++) {
@@ -146,7 +146,7 @@
         assertThat(sent.get(endpoints.get(0).id())).isGreaterThan(100);
     }
 
-    private PlacementChoice choose(List<ServiceEndpoint> candidates, PromptShape prompt) {
+    private PlacementChoice choose(List<ServiceEndpoint> candidates, PromptDescription prompt) {
         PlacementChoice choice = chooser.choose(
                         new PlacementQuery(candidates, endpoints, endpoints, Optional.of(prompt), 1, 1, 0))
                 .orElseThrow();
@@ -162,8 +162,8 @@
         return new PlacementQuery(endpoints, endpoints, endpoints, Optional.empty(), hash, 60, 0);
     }
 
-    private static PromptShape prompt(String subject, int request) {
-        return new PromptShape(
+    private static PromptDescription prompt(String subject, int request) {
+        return new PromptDescription(
                 "m",
                 1_000,
                 100,
--- a/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/InnocentRequestsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/HarmlessRequestsTest.java
@@ -16,7 +16,7 @@
  * every second, with or without a request that causes crashes. Callers repeat requests whose responses broke off. Fewer
  * than one in a thousand harmless requests may be refused, since a refusal costs the caller as much as a crash does.
  */
-final class InnocentRequestsTest {
+final class HarmlessRequestsTest {
     private static final String SERVICE = "chat";
     private static final int ENGINES = 13;
     private static final long SIMULATED_MILLIS = 120_000;
@@ -70,17 +70,17 @@
         private final List<Engine> engines = new ArrayList<>();
         private final Quarantine quarantine = new Quarantine(new Quarantine.Listener() {
             @Override
-            public void quarantined(RequestFingerprint request, int ends, String origin) {
+            public void quarantined(RequestFingerprint request, int crashes, String origin) {
                 // refusals are counted in arrive()
             }
 
             @Override
-            public void tried(RequestFingerprint request, int ends) {
+            public void tried(RequestFingerprint request, int crashes) {
                 // not checked by this test
             }
 
             @Override
-            public void cleared(RequestFingerprint request, int ends) {
+            public void cleared(RequestFingerprint request, int crashes) {
                 // not checked by this test
             }
         });
@@ -120,7 +120,7 @@
 
         private void arrive(Request request) {
             requests += request.poison ? 0 : 1;
-            if (!quarantine.standing(request.fingerprint, SERVICE, nowMillis).admitted()) {
+            if (!quarantine.status(request.fingerprint, SERVICE, nowMillis).admitted()) {
                 refused += request.poison ? 0 : 1;
                 repeat(request);
                 return;
@@ -163,11 +163,11 @@
             List<Run> broken = List.copyOf(engine.runs);
             engine.runs.clear();
             engines.remove(engine);
-            quarantine.ended(
+            quarantine.endpointCrashed(
                     SERVICE,
                     engine.hash,
                     broken.stream()
-                            .map(run -> new AtWork(run.request.fingerprint, nowMillis - run.sentAtMillis))
+                            .map(run -> new InProgressRequest(run.request.fingerprint, nowMillis - run.sentAtMillis))
                             .toList(),
                     nowMillis);
             broken.forEach(run -> repeat(run.request));
--- a/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/QuarantineTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/quarantine/QuarantineTest.java
@@ -23,17 +23,18 @@
 
     @Test
     void oneCrashMakesARequestSuspectedOnly() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
-        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW)).isEqualTo(Standing.CLEAR);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW);
+        assertThat(quarantine.status(POISON, SERVICE, NOW)).isEqualTo(QuarantineStatus.SUSPECTED);
+        assertThat(quarantine.status(HARMLESS, SERVICE, NOW)).isEqualTo(QuarantineStatus.CLEAR);
     }
 
     @Test
     void twoCrashesSoonAfterSendingQuarantineARequest() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON), new AtWork(HARMLESS, SOON)), NOW);
-        quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + 900);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 901)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 901)).isEqualTo(Standing.SUSPECTED);
+        quarantine.endpointCrashed(
+                SERVICE, 1, List.of(new InProgressRequest(POISON, SOON), new InProgressRequest(HARMLESS, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 2, List.of(new InProgressRequest(POISON, SOON)), NOW + 900);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 901)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(quarantine.status(HARMLESS, SERVICE, NOW + 901)).isEqualTo(QuarantineStatus.SUSPECTED);
         assertThat(calls)
                 .containsExactly("kept 1 with 2", "quarantined 1 after 2 by this router")
                 .inOrder();
@@ -41,20 +42,20 @@
 
     @Test
     void aCrashReportedTwiceCountsOnce() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW + 5);
-        quarantine.told(reports.get(0).aged(1_000), "other", NOW + 1_000);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 1_000)).isEqualTo(Standing.SUSPECTED);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW + 5);
+        quarantine.merge(reports.get(0).aged(1_000), "other", NOW + 1_000);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 1_000)).isEqualTo(QuarantineStatus.SUSPECTED);
         assertThat(reports).hasSize(1);
     }
 
     @Test
     void crashesLongAfterSendingQuarantineARequestOnlyAtTheThird() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, LATE)), NOW);
-        quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, LATE)), NOW + 4_000);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 4_001)).isEqualTo(Standing.SUSPECTED);
-        quarantine.ended(SERVICE, 3, List.of(new AtWork(POISON, LATE)), NOW + 8_000);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 8_001)).isEqualTo(Standing.QUARANTINED);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, LATE)), NOW);
+        quarantine.endpointCrashed(SERVICE, 2, List.of(new InProgressRequest(POISON, LATE)), NOW + 4_000);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 4_001)).isEqualTo(QuarantineStatus.SUSPECTED);
+        quarantine.endpointCrashed(SERVICE, 3, List.of(new InProgressRequest(POISON, LATE)), NOW + 8_000);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 8_001)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     /**
@@ -63,36 +64,38 @@
     @Test
     void simultaneousCrashesCountOnce() {
         for (int endpoint = 0; endpoint < 8; endpoint++) {
-            quarantine.ended(SERVICE, endpoint, List.of(new AtWork(HARMLESS, SOON)), NOW + endpoint);
+            quarantine.endpointCrashed(
+                    SERVICE, endpoint, List.of(new InProgressRequest(HARMLESS, SOON)), NOW + endpoint);
         }
-        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 10)).isEqualTo(Standing.SUSPECTED);
+        assertThat(quarantine.status(HARMLESS, SERVICE, NOW + 10)).isEqualTo(QuarantineStatus.SUSPECTED);
     }
 
     @Test
     void tidyUpdatesTheNumberOfQuarantinedRequests() {
         crashTwice();
         quarantine.tidy(NOW + 1_000);
-        assertThat(quarantine.held()).isEqualTo(1);
+        assertThat(quarantine.causeCount()).isEqualTo(1);
     }
 
     @Test
     void twoRequestsWithTheSameCrashesAreNotQuarantinedUntilOneIsAnswered() {
-        List<AtWork> both = List.of(new AtWork(POISON, SOON), new AtWork(HARMLESS, SOON));
-        quarantine.ended(SERVICE, 1, both, NOW);
-        quarantine.ended(SERVICE, 2, both, NOW + 900);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 901)).isEqualTo(Standing.SUSPECTED);
+        List<InProgressRequest> both =
+                List.of(new InProgressRequest(POISON, SOON), new InProgressRequest(HARMLESS, SOON));
+        quarantine.endpointCrashed(SERVICE, 1, both, NOW);
+        quarantine.endpointCrashed(SERVICE, 2, both, NOW + 900);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 901)).isEqualTo(QuarantineStatus.SUSPECTED);
 
         quarantine.answered(HARMLESS, SERVICE, NOW);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 902)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(HARMLESS, SERVICE, NOW + 902)).isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 902)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(quarantine.status(HARMLESS, SERVICE, NOW + 902)).isEqualTo(QuarantineStatus.CLEAR);
     }
 
     @Test
     void anAnsweredRequestIsClearedAtOnceAndReportedToOtherRouters() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW);
         quarantine.answered(POISON, SERVICE, NOW);
         quarantine.answered(HARMLESS, SERVICE, NOW);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.status(POISON, SERVICE, NOW)).isEqualTo(QuarantineStatus.CLEAR);
         assertThat(reports.get(reports.size() - 1).cleared()).containsExactly(POISON);
         assertThat(reports).hasSize(2);
     }
@@ -101,14 +104,14 @@
     void afterTheQuarantineOneTrialIsMadeAndOtherRoutersWaitForItsOutcome() {
         crashTwice();
         long later = NOW + SOON + MINUTE + 1;
-        assertThat(quarantine.standing(POISON, SERVICE, later)).isEqualTo(Standing.ON_TRIAL);
+        assertThat(quarantine.status(POISON, SERVICE, later)).isEqualTo(QuarantineStatus.ON_TRIAL);
         quarantine.sent(POISON, later);
-        assertThat(quarantine.standing(POISON, SERVICE, later + 1)).isEqualTo(Standing.QUARANTINED);
+        assertThat(quarantine.status(POISON, SERVICE, later + 1)).isEqualTo(QuarantineStatus.QUARANTINED);
 
         Quarantine other = quarantine(new ArrayList<>(), new ArrayList<>());
-        other.told(reports.get(reports.size() - 1), "first", later + 20);
-        assertThat(other.standing(POISON, SERVICE, later + 21)).isEqualTo(Standing.QUARANTINED);
-        assertThat(other.standing(POISON, SERVICE, later + MINUTE)).isEqualTo(Standing.ON_TRIAL);
+        other.merge(reports.get(reports.size() - 1), "first", later + 20);
+        assertThat(other.status(POISON, SERVICE, later + 21)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(other.status(POISON, SERVICE, later + MINUTE)).isEqualTo(QuarantineStatus.ON_TRIAL);
     }
 
     @Test
@@ -116,9 +119,9 @@
         crashTwice();
         long later = NOW + SOON + MINUTE + 1;
         quarantine.sent(POISON, later);
-        quarantine.ended(SERVICE, 3, List.of(new AtWork(POISON, SOON)), later + 100);
-        assertThat(quarantine.standing(POISON, SERVICE, later + 9 * MINUTE)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(POISON, SERVICE, later + 11 * MINUTE)).isEqualTo(Standing.ON_TRIAL);
+        quarantine.endpointCrashed(SERVICE, 3, List.of(new InProgressRequest(POISON, SOON)), later + 100);
+        assertThat(quarantine.status(POISON, SERVICE, later + 9 * MINUTE)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(quarantine.status(POISON, SERVICE, later + 11 * MINUTE)).isEqualTo(QuarantineStatus.ON_TRIAL);
     }
 
     @Test
@@ -126,8 +129,7 @@
         crashTwice();
         quarantine.sent(POISON, NOW + SOON + MINUTE + 1);
         quarantine.answered(POISON, SERVICE, NOW);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + SOON + MINUTE + 2))
-                .isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + SOON + MINUTE + 2)).isEqualTo(QuarantineStatus.CLEAR);
         assertThat(calls)
                 .containsExactly("kept 1 with 2", "tried 1 after 2", "released 1")
                 .inOrder();
@@ -136,9 +138,9 @@
     @Test
     void aQuarantinedRequestAnsweredAtAnotherRouterIsClearedAndRemovedFromTheStore() {
         crashTwice();
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 200).admitted()).isFalse();
-        quarantine.told(new SuspectReport(List.of(), List.of(POISON)), "other", NOW + 300);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 301)).isEqualTo(Standing.CLEAR);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 200).admitted()).isFalse();
+        quarantine.merge(new SuspectReport(List.of(), List.of(POISON)), "other", NOW + 300);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 301)).isEqualTo(QuarantineStatus.CLEAR);
         assertThat(calls)
                 .containsExactly(
                         "kept 1 with 2", "quarantined 1 after 2 by this router", "cleared 1 after 2", "released 1")
@@ -147,10 +149,10 @@
 
     @Test
     void aRequestRestoredFromTheStoreIsQuarantinedAndRemovedOnceAnswered() {
-        List<Sighting> ends = List.of(new Sighting(1, 5_000, SOON), new Sighting(2, 4_000, SOON));
-        quarantine.restored(List.of(new Suspect(POISON, ends, Suspect.NEVER_TRIED)), NOW);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + MINUTE)).isEqualTo(Standing.ON_TRIAL);
+        List<EndpointCrash> crashes = List.of(new EndpointCrash(1, 5_000, SOON), new EndpointCrash(2, 4_000, SOON));
+        quarantine.mergeStored(List.of(new Suspect(POISON, crashes, Suspect.NEVER_TRIED)), NOW);
+        assertThat(quarantine.status(POISON, SERVICE, NOW)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + MINUTE)).isEqualTo(QuarantineStatus.ON_TRIAL);
         quarantine.answered(POISON, SERVICE, NOW + MINUTE);
         assertThat(calls).contains("released 1");
     }
@@ -162,21 +164,22 @@
     @Test
     void moreCrashesAreRequiredIfEndpointsCrashOften() {
         for (int body = 0; body < 200; body++) {
-            quarantine.ended(SERVICE, 1_000 + body, List.of(new AtWork(request(2, body), SOON)), NOW);
+            quarantine.endpointCrashed(
+                    SERVICE, 1_000 + body, List.of(new InProgressRequest(request(2, body), SOON)), NOW);
             quarantine.answered(request(3, body), SERVICE, NOW);
         }
         for (int end = 0; end < 4; end++) {
-            quarantine.ended(SERVICE, end, List.of(new AtWork(POISON, SOON)), NOW + 500L * end);
+            quarantine.endpointCrashed(SERVICE, end, List.of(new InProgressRequest(POISON, SOON)), NOW + 500L * end);
         }
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 2_000)).isEqualTo(Standing.SUSPECTED);
-        quarantine.ended(SERVICE, 5, List.of(new AtWork(POISON, SOON)), NOW + 2_500);
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 2_501)).isEqualTo(Standing.QUARANTINED);
-        assertThat(quarantine.standing(POISON, "other service", NOW + 2_501)).isEqualTo(Standing.QUARANTINED);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 2_000)).isEqualTo(QuarantineStatus.SUSPECTED);
+        quarantine.endpointCrashed(SERVICE, 5, List.of(new InProgressRequest(POISON, SOON)), NOW + 2_500);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 2_501)).isEqualTo(QuarantineStatus.QUARANTINED);
+        assertThat(quarantine.status(POISON, "other service", NOW + 2_501)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
     void suspectsExpire() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(HARMLESS, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(HARMLESS, SOON)), NOW);
         crashTwice();
         quarantine.tidy(NOW + 59 * MINUTE);
         assertThat(quarantine.all(NOW).suspects()).hasSize(2);
@@ -187,9 +190,9 @@
     @Test
     void crashesSeenByDifferentRoutersAreCombined() {
         Quarantine other = quarantine(calls, new ArrayList<>());
-        other.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + 900);
-        other.told(reportOfOneCrash().aged(950), "first", NOW + 950);
-        assertThat(other.standing(POISON, SERVICE, NOW + 951)).isEqualTo(Standing.QUARANTINED);
+        other.endpointCrashed(SERVICE, 2, List.of(new InProgressRequest(POISON, SOON)), NOW + 900);
+        other.merge(reportOfOneCrash().aged(950), "first", NOW + 950);
+        assertThat(other.status(POISON, SERVICE, NOW + 951)).isEqualTo(QuarantineStatus.QUARANTINED);
         assertThat(calls)
                 .containsExactly("kept 1 with 2", "quarantined 1 after 2 by first")
                 .inOrder();
@@ -198,11 +201,12 @@
     @Test
     void manySuspectsOfOneWorkspaceDoNotEvictThoseOfAnother() {
         RequestFingerprint ofOtherWorkspace = request(2, 1);
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(ofOtherWorkspace, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(ofOtherWorkspace, SOON)), NOW);
         for (int body = 0; body < 10 * Quarantine.MAX_SUSPECTS; body++) {
-            quarantine.ended(SERVICE, 100 + body, List.of(new AtWork(request(1, 10 + body), SOON)), NOW + body);
+            quarantine.endpointCrashed(
+                    SERVICE, 100 + body, List.of(new InProgressRequest(request(1, 10 + body), SOON)), NOW + body);
         }
-        assertThat(quarantine.standing(ofOtherWorkspace, SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
+        assertThat(quarantine.status(ofOtherWorkspace, SERVICE, NOW)).isEqualTo(QuarantineStatus.SUSPECTED);
         assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS_OF_WORKSPACE + 1);
     }
 
@@ -210,39 +214,44 @@
     void suspectsWithFewerCrashesAreEvictedFirst() {
         crashTwice();
         for (int body = 0; body < 2 * Quarantine.MAX_SUSPECTS_OF_WORKSPACE; body++) {
-            quarantine.ended(
-                    "other service", 100 + body, List.of(new AtWork(request(1, 10 + body), SOON)), NOW + 10 + body);
+            quarantine.endpointCrashed(
+                    "other service",
+                    100 + body,
+                    List.of(new InProgressRequest(request(1, 10 + body), SOON)),
+                    NOW + 10 + body);
         }
-        assertThat(quarantine.standing(POISON, SERVICE, NOW + 5_000)).isEqualTo(Standing.QUARANTINED);
+        assertThat(quarantine.status(POISON, SERVICE, NOW + 5_000)).isEqualTo(QuarantineStatus.QUARANTINED);
     }
 
     @Test
     void theSuspectsOfManyWorkspacesStayWithinTheLimit() {
         for (int workspace = 0; workspace < 2 * Quarantine.MAX_SUSPECTS; workspace++) {
-            quarantine.ended(SERVICE, workspace, List.of(new AtWork(request(workspace, 1), SOON)), NOW);
+            quarantine.endpointCrashed(
+                    SERVICE, workspace, List.of(new InProgressRequest(request(workspace, 1), SOON)), NOW);
         }
         assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS);
     }
 
     @Test
     void onlyTheRequestsSentLastBeforeACrashAreSuspected() {
-        List<AtWork> many = new ArrayList<>();
+        List<InProgressRequest> many = new ArrayList<>();
         for (int body = 0; body < 100; body++) {
-            many.add(new AtWork(request(1, body), 10L * (100 - body)));
+            many.add(new InProgressRequest(request(1, body), 10L * (100 - body)));
         }
-        quarantine.ended(SERVICE, 1, many, NOW);
+        quarantine.endpointCrashed(SERVICE, 1, many, NOW);
         assertThat(quarantine.all(NOW).suspects()).hasSize(Quarantine.MAX_SUSPECTS_OF_CRASH);
-        assertThat(quarantine.standing(request(1, 99), SERVICE, NOW)).isEqualTo(Standing.SUSPECTED);
+        assertThat(quarantine.status(request(1, 99), SERVICE, NOW)).isEqualTo(QuarantineStatus.SUSPECTED);
     }
 
     private void crashTwice() {
-        quarantine.ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
-        quarantine.ended(SERVICE, 2, List.of(new AtWork(POISON, SOON)), NOW + SOON);
+        quarantine.endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW);
+        quarantine.endpointCrashed(SERVICE, 2, List.of(new InProgressRequest(POISON, SOON)), NOW + SOON);
     }
 
     private static SuspectReport reportOfOneCrash() {
         List<SuspectReport> reports = new ArrayList<>();
-        quarantine(new ArrayList<>(), reports).ended(SERVICE, 1, List.of(new AtWork(POISON, SOON)), NOW);
+        quarantine(new ArrayList<>(), reports)
+                .endpointCrashed(SERVICE, 1, List.of(new InProgressRequest(POISON, SOON)), NOW);
         return reports.get(0);
     }
 
@@ -253,21 +262,21 @@
     private static Quarantine quarantine(List<String> calls, List<SuspectReport> reports) {
         Quarantine created = new Quarantine(new Quarantine.Listener() {
             @Override
-            public void quarantined(RequestFingerprint request, int ends, String origin) {
-                calls.add("quarantined " + request.body() + " after " + ends + " by " + origin);
+            public void quarantined(RequestFingerprint request, int crashes, String origin) {
+                calls.add("quarantined " + request.body() + " after " + crashes + " by " + origin);
             }
 
             @Override
-            public void tried(RequestFingerprint request, int ends) {
-                calls.add("tried " + request.body() + " after " + ends);
+            public void tried(RequestFingerprint request, int crashes) {
+                calls.add("tried " + request.body() + " after " + crashes);
             }
 
             @Override
-            public void cleared(RequestFingerprint request, int ends) {
-                calls.add("cleared " + request.body() + " after " + ends);
+            public void cleared(RequestFingerprint request, int crashes) {
+                calls.add("cleared " + request.body() + " after " + crashes);
             }
         });
-        created.onNews(new SuspectListener() {
+        created.setSuspectListener(new SuspectListener() {
             @Override
             public void found(SuspectReport news) {
                 reports.add(news);
@@ -276,7 +285,7 @@
             @Override
             public void quarantined(Suspect suspect) {
                 calls.add("kept " + suspect.request().body() + " with "
-                        + suspect.ends().size());
+                        + suspect.crashes().size());
             }
 
             @Override
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
@@ -18,7 +18,7 @@
 import org.radishpass.routing.fleet.ServiceEndpoint;
 
 /**
- * An endpoint on the loopback interface that answers each request with bytes given by the test, so that a test can
+ * An endpoint on the loopback interface that responds to each request with bytes given by the test, so that a test can
  * produce malformed, late and truncated responses.
  */
 public final class FakeEndpoint implements AutoCloseable {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/PlainDialect.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/PlainDialect.java
@@ -6,10 +6,10 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.OptionalLong;
-import org.radishpass.routing.dialect.AnswerHead;
-import org.radishpass.routing.dialect.ForwardingHead;
+import org.radishpass.routing.dialect.ForwardingHeaders;
 import org.radishpass.routing.dialect.RequestDialect;
 import org.radishpass.routing.dialect.RequestHead;
+import org.radishpass.routing.dialect.ResponseHead;
 
 /** A dialect for tests, with its own header names. */
 public final class PlainDialect implements RequestDialect {
@@ -43,32 +43,32 @@
     @Override
     public RequestHead decode(HttpRequest request) {
         HttpHeaders headers = request.headers();
-        String patience = headers.get("X-Patience");
+        String timeout = headers.get("X-Patience");
         String key = headers.get(HttpHeaderNames.AUTHORIZATION);
         return new RequestHead(
                 headers.get(ID, ""),
                 headers.get(HttpHeaderNames.HOST, ""),
                 request.uri(),
-                patience == null ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(patience)),
+                timeout == null ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(timeout)),
                 key,
                 null,
                 headers.get(AFTER));
     }
 
     @Override
-    public void encode(HttpHeaders headers, ForwardingHead forwarding) {
+    public void encode(HttpHeaders headers, ForwardingHeaders forwarding) {
         headers.remove(HttpHeaderNames.AUTHORIZATION);
         headers.remove(WORKSPACE);
         headers.set(ENDPOINT, forwarding.endpointName());
-        headers.set(LEFT, forwarding.leftMillis());
+        headers.set(LEFT, forwarding.remainingMillis());
         forwarding.workspace().ifPresent(name -> headers.set(WORKSPACE, name));
         forwarding.lastEventId().ifPresent(id -> headers.set(AFTER, id));
     }
 
     @Override
-    public AnswerHead decodeAnswer(HttpResponse response) {
+    public ResponseHead decodeResponse(HttpResponse response) {
         String backoff = response.headers().get(BACKOFF);
-        return AnswerHead.builder(response.status().code())
+        return ResponseHead.builder(response.status().code())
                 .notRun(response.headers().contains(NOT_RUN))
                 .requestId(response.headers().get(ID))
                 .signed(!response.headers().contains(UNSIGNED))
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficBed.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficBed.java
@@ -96,12 +96,12 @@
     public TrafficBed restricts(EndpointEligibility eligibility) {
         RoutingView known = view;
         view = new RoutingView(
-                known.published(),
+                known.configurationInForce(),
                 known.inForceSinceMillis(),
-                known.newerExpectedUntilMillis(),
+                known.newerConfigurationExpectedUntilMillis(),
                 known.directory(),
                 known.directoryKnown(),
-                known.arriving(),
+                known.receiving(),
                 known.origin(),
                 known.routers(),
                 eligibility,
@@ -113,12 +113,12 @@
     public TrafficBed hearsOfNewer(long withinMillis) {
         RoutingView known = view;
         view = new RoutingView(
-                known.published(),
+                known.configurationInForce(),
                 known.inForceSinceMillis(),
                 nowMillis() + withinMillis,
                 known.directory(),
                 known.directoryKnown(),
-                known.arriving(),
+                known.receiving(),
                 known.origin(),
                 known.routers(),
                 known.eligibility(),
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFailureTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFailureTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aRouterWithoutConfigurationRefusesRequestsAsNotExecuted() throws Exception {
+    void aRouterWithoutConfigurationRefusesRequestsAsNotRun() throws Exception {
         try (TestCaller caller = bed.caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
             assertThat(response).startsWith("HTTP/1.1 503");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotExecuted() throws Exception {
+    void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> request.reset());
                 FakeEndpoint other = new FakeEndpoint("b", (request, out) -> request.reset());
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint, other).caller()) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aRequestThatWasProvablyNotExecutedIsRetriedElsewhere() throws Exception {
+    void aRequestThatWasProvablyNotRunIsRetriedElsewhere() throws Exception {
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
                 FakeEndpoint healthy = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
                 TestCaller caller =
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aRequestThatEveryEndpointRejectsIsRefusedAsNotExecuted() throws Exception {
+    void aRequestThatEveryEndpointRejectsIsRefusedAsNotRun() throws Exception {
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n"))
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aRefusalAfterAnAttemptThatMayHaveRunDoesNotClaimNotExecuted() throws Exception {
+    void aRefusalAfterAnAttemptThatMayHaveRunDoesNotClaimNotRun() throws Exception {
         try (FakeEndpoint resetting = new FakeEndpoint("a", (request, out) -> request.reset());
                 FakeEndpoint rejecting = new FakeEndpoint("b", (request, out) -> write(out, notRun(request)));
                 TestCaller caller =
@@ -251,7 +251,7 @@
     }
 
     @Test
-    void aTimedOutRequestIsAnsweredWithoutClaimingNotExecuted() throws Exception {
+    void aTimedOutRequestIsAnsweredWithoutClaimingNotRun() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> out.flush());
                 TestCaller caller = bed.knows(300, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("}"))
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFilterTest.java
@@ -22,8 +22,8 @@
 import org.radishpass.routing.config.ServiceSpec;
 import org.radishpass.routing.config.TrafficSplit;
 import org.radishpass.routing.config.Workspace;
-import org.radishpass.routing.dialect.AnswerHead;
 import org.radishpass.routing.dialect.RequestHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.DirectoryOrigin;
 import org.radishpass.routing.fleet.EndpointDirectory;
 import org.radishpass.routing.fleet.EndpointEligibility;
@@ -67,7 +67,7 @@
         Set<ServiceEndpoint> statedLeaving = new HashSet<>();
         endpoints.stream().filter(endpoint -> random.nextInt(4) == 0).forEach(statedLeaving::add);
         statedLeaving.forEach(endpoint -> signals.headReceived(
-                endpoint, AnswerHead.builder(200).leaving(true).build()));
+                endpoint, ResponseHead.builder(200).leaving(true).build()));
         RoutingView view = view(endpoints, new EndpointEligibility(drained, Map.of(), new RegionMap(regionOf)));
         EndpointFilter filter = new EndpointFilter(view, signals);
         RequestTerms terms = terms(byRoute, byWorkspace);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointSignalsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointSignalsTest.java
@@ -58,7 +58,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
-    void refusesARequestAsNotExecutedIfEveryEndpointIsLeaving(String path) throws Exception {
+    void refusesARequestAsNotRunIfEveryEndpointIsLeaving(String path) throws Exception {
         AtomicInteger received = new AtomicInteger();
         try (FakeEndpoint leaving = new FakeEndpoint("a", (request, out) -> {
                     received.incrementAndGet();
@@ -183,7 +183,7 @@
     @Test
     void limitsABackoffToTheConfiguredMaximum() throws Exception {
         AtomicInteger received = new AtomicInteger();
-        bed.server().longestBackoffMillis(1_000);
+        bed.server().maxBackoffMillis(1_000);
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> {
                     received.incrementAndGet();
                     write(out, rejection(request, 1_000_000_000_000L));
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/HeldArrivalsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/HeldArrivalsTest.java
@@ -17,12 +17,12 @@
  */
 final class HeldArrivalsTest {
     private long nowMillis = 1_000;
-    private boolean arriving = true;
+    private boolean receiving = true;
     private final Deque<Runnable> scheduledChecks = new ArrayDeque<>();
     private final List<Integer> started = new ArrayList<>();
     private final HeldArrivals held = new HeldArrivals(
             () -> nowMillis,
-            () -> arriving,
+            () -> receiving,
             arrivals -> arrivals.forEach(ArrivalQueue.Arrival::start),
             scheduledChecks::add);
 
@@ -32,7 +32,7 @@
         advance(500);
         assertThat(started).isEmpty();
 
-        arriving = false;
+        receiving = false;
         advance(20);
         assertThat(started).containsExactly(1);
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementExclusionTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementExclusionTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.radishpass.peer.message.WorkScope;
-import org.radishpass.routing.dialect.AnswerHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.ServiceEndpoint;
 import org.radishpass.routing.health.EndpointHealth;
 import org.radishpass.routing.placement.PlacementChoice;
@@ -34,7 +34,7 @@
      */
     @Test
     void neverChoosesALeavingEndpoint() {
-        AnswerHead leaving = AnswerHead.builder(200).leaving(true).build();
+        ResponseHead leaving = ResponseHead.builder(200).leaving(true).build();
         for (long seed = 1; seed <= SEEDS; seed++) {
             Random random = new Random(seed);
             List<ServiceEndpoint> endpoints = randomEndpoints(seed, random);
@@ -54,7 +54,7 @@
             List<ServiceEndpoint> rejecting = randomSubset(random, endpoints);
             for (ServiceEndpoint endpoint : rejecting) {
                 fixture.reject(endpoint, 1_000 + random.nextInt(9_000));
-                fixture.receiveHead(endpoint, AnswerHead.builder(200).build());
+                fixture.receiveHead(endpoint, ResponseHead.builder(200).build());
             }
             fixture.advance(random.nextInt(1_000));
             assertNeverChosen(seed, endpoints, rejecting);
@@ -93,9 +93,9 @@
     private void degradeHealth(EndpointHealth health, int fault) {
         switch (fault) {
             case 0 -> health.unreachable(fixture.nowMillis());
-            case 1 -> health.doubt();
-            case 2 -> health.saidToFail(WorkScope.GROUP, fixture.nowMillis() + 100_000);
-            default -> health.heard(fixture.nowMillis());
+            case 1 -> health.markPossiblyUnreachable();
+            case 2 -> health.recordReportedFailing(WorkScope.GROUP, fixture.nowMillis() + 100_000);
+            default -> health.bytesReceived(fixture.nowMillis());
         }
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementFixture.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/PlacementFixture.java
@@ -14,15 +14,15 @@
 import org.radishpass.routing.config.ServiceSpec;
 import org.radishpass.routing.config.TrafficSplit;
 import org.radishpass.routing.config.Workspace;
-import org.radishpass.routing.dialect.AnswerHead;
 import org.radishpass.routing.dialect.RequestHead;
+import org.radishpass.routing.dialect.ResponseHead;
 import org.radishpass.routing.fleet.DirectoryOrigin;
 import org.radishpass.routing.fleet.EndpointDirectory;
 import org.radishpass.routing.fleet.EndpointEligibility;
 import org.radishpass.routing.fleet.FleetMembers;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.HealthBook;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.placement.EndpointChooser;
 import org.radishpass.routing.retry.RetryAllowance;
 import org.radishpass.routing.retry.SharedRetryBudget;
@@ -33,8 +33,8 @@
     static final String SERVICE = "s";
 
     private final NioEventLoopGroup loops = new NioEventLoopGroup(1);
-    private final HealthBook health = new HealthBook();
-    private final InFlightBook inFlight = new InFlightBook();
+    private final EndpointHealthTracker health = new EndpointHealthTracker();
+    private final InFlightTracker inFlight = new InFlightTracker();
     private final TrafficContext context;
     private RoutingView view = RoutingView.UNKNOWN;
     private long nowMillis = 1_000_000;
@@ -93,7 +93,7 @@
     }
 
     /** Processes a response head of an endpoint. */
-    void receiveHead(ServiceEndpoint endpoint, AnswerHead head) {
+    void receiveHead(ServiceEndpoint endpoint, ResponseHead head) {
         context.signals().headReceived(endpoint, head);
     }
 
@@ -101,17 +101,17 @@
     void reject(ServiceEndpoint endpoint, long backoffMillis) {
         receiveHead(
                 endpoint,
-                AnswerHead.builder(503)
+                ResponseHead.builder(503)
                         .notRun(true)
                         .retryAfterMillis(OptionalLong.of(backoffMillis))
                         .build());
     }
 
-    HealthBook health() {
+    EndpointHealthTracker health() {
         return health;
     }
 
-    InFlightBook inFlight() {
+    InFlightTracker inFlight() {
         return inFlight;
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aQuarantinedRequestIsRefusedAsNotExecutedWithALongRetryAfter() throws Exception {
+    void aQuarantinedRequestIsRefusedAsNotRunWithALongRetryAfter() throws Exception {
         startEndpoints(8);
         assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
         assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void oneArrivalOfARetryableRequestCrashesAtMostTwoEndpointsAndIsNotReportedAsNotExecuted() throws Exception {
+    void oneArrivalOfARetryableRequestCrashesAtMostTwoEndpointsAndIsNotReportedAsNotRun() throws Exception {
         startEndpoints(8);
         assertThat(send("/again/", CRASHING_BODY)).startsWith("HTTP/1.1 502");
         assertThat(exitedEndpoints()).isEqualTo(2);
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
-    void refusesARequestAsNotExecutedIfEveryDataCentreIsDrained(String path) throws Exception {
+    void refusesARequestAsNotRunIfEveryDataCentreIsDrained(String path) throws Exception {
         try (FakeEndpoint endpoint = endpoint("a");
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint)
                         .restricts(new EndpointEligibility(Set.of(new DataCentre("here")), Map.of(), RegionMap.EMPTY))
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
@@ -54,7 +54,7 @@
                             + ": second\r\nExpect: 100-continue\r\n" + "Content-Length: 1\r\n\r\n")
                     .readUntil("100 Continue\r\n\r\n");
             CompletableFuture<Integer> stopped = new CompletableFuture<>();
-            bed.server().endIfIdle(false, stopped::complete);
+            bed.server().stopIfIdle(false, stopped::complete);
             assertThat(stopped.get(20, TimeUnit.SECONDS)).isEqualTo(0);
 
             assertThat(caller.send("x").readUntil("\r\n")).contains("503");
@@ -123,10 +123,10 @@
                 TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "7", "x");
             endpoint.next();
-            bed.server().stopping();
+            bed.server().closeAfterResponses();
             bed.server().refuseNew();
             CompletableFuture<Integer> active = new CompletableFuture<>();
-            bed.server().endIfIdle(true, active::complete);
+            bed.server().stopIfIdle(true, active::complete);
             assertThat(active.get(20, TimeUnit.SECONDS)).isEqualTo(1);
             respond.countDown();
             String response = caller.readAll();
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.radishpass.routing.dialect.PromptShape;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
+import org.radishpass.routing.health.ResponseTimes;
 import org.radishpass.routing.load.QueueLimit;
-import org.radishpass.routing.load.SpareRoom;
+import org.radishpass.routing.load.SpareCapacity;
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.placement.PlacementQuery;
 
@@ -77,17 +77,18 @@
     private Optional<PlacementChoice> place(List<String> without) {
         long now = timeline.millis();
         String service = requestClass().service();
-        List<ServiceEndpoint> candidates = new ArrayList<>(router.healthBook().usable(router.open(service), now));
+        List<ServiceEndpoint> candidates =
+                new ArrayList<>(router.healthTracker().usable(router.open(service), now));
         candidates.removeIf(endpoint -> without.contains(endpoint.id()));
         if (sends > 0) {
-            candidates = router.healthBook().heardLately(candidates, SURELY_ALIVE_MILLIS, now);
+            candidates = router.healthTracker().recentlyActive(candidates, SURELY_ALIVE_MILLIS, now);
         }
-        Optional<PromptShape> prompt = request.prompt();
+        Optional<PromptDescription> prompt = request.prompt();
         return router.chooser()
                 .choose(new PlacementQuery(
                         candidates,
                         candidates,
-                        router.healthBook().reachable(router.fleet().all(service), now),
+                        router.healthTracker().reachable(router.fleet().all(service), now),
                         prompt,
                         request.hash(),
                         router.routers(),
@@ -101,7 +102,7 @@
 
     private boolean mayRetry() {
         return sends - rejections < requestClass().attempts()
-                && requestClass().kind().mayRunAgain()
+                && requestClass().kind().retryableAfterRun()
                 && router.budget().trySpend(requestClass().service(), timeline.millis());
     }
 
@@ -140,12 +141,12 @@
                     .map(SimulatedEngine.class::cast)
                     .orElse(null);
             this.run = request.run(holder, this);
-            router.book().started(endpoint.id(), run.memoryTokens());
+            router.inFlight().started(endpoint.id(), run.memoryTokens());
         }
 
         private void connect() {
-            long heardAgo = timeline.millis() - router.health(endpoint).heardAtMillis();
-            if (heardAgo <= LIKELY_MILLIS && requestClass().kind().mayRunAgain() && sends == 0) {
+            long heardAgo = timeline.millis() - router.health(endpoint).bytesReceivedAtMillis();
+            if (heardAgo <= LIKELY_MILLIS && requestClass().kind().retryableAfterRun() && sends == 0) {
                 send();
             } else {
                 router.connect(endpoint, this::send, this::unreachable);
@@ -163,10 +164,10 @@
             timeline.after(SimulatedRouter.NETWORK_MILLIS, this::reach);
             timeline.after(SILENCE_MILLIS, this::lookIntoSilence);
             String name = requestClass().name();
-            after(router.patience().millis(name), this::slow);
+            after(router.responseTimes().slowThresholdMillis(name), this::slow);
             after(
-                    router.patience()
-                            .secondTryMillis(name, Math.round(requestClass().latencyTargetMillis())),
+                    router.responseTimes()
+                            .secondAttemptMillis(name, Math.round(requestClass().latencyTargetMillis())),
                     this::secondTry);
         }
 
@@ -177,7 +178,7 @@
         }
 
         private void after(long millis, Runnable task) {
-            if (millis != AnswerPatience.UNKNOWN) {
+            if (millis != ResponseTimes.UNKNOWN) {
                 timeline.after((double) millis, task);
             }
         }
@@ -186,7 +187,7 @@
             if (!began && !ended) {
                 overdue = true;
                 if (router.does(Policy.SLOW_LEFT_OUT) && othersHaveRoom()) {
-                    router.health(endpoint).answeredSlowly(timeline.millis());
+                    router.health(endpoint).respondedSlowly(timeline.millis());
                 }
             }
         }
@@ -195,7 +196,7 @@
             if (began
                     || ended
                     || !router.does(Policy.SECOND_TRIES)
-                    || !requestClass().kind().mayRunAgain()) {
+                    || !requestClass().kind().retryableAfterRun()) {
                 return;
             }
             if (!othersHaveRoom()) {
@@ -214,9 +215,11 @@
         private boolean othersHaveRoom() {
             long now = timeline.millis();
             List<ServiceEndpoint> open = router.open(requestClass().service());
-            List<ServiceEndpoint> others = new ArrayList<>(router.healthBook().usable(open, now));
+            List<ServiceEndpoint> others =
+                    new ArrayList<>(router.healthTracker().usable(open, now));
             others.removeIf(other -> other.id().equals(endpoint.id()));
-            return !router.healthBook().doubtful(open, now) && SpareRoom.at(others, router.book());
+            return !router.healthTracker().mostlyUnhealthy(open, now)
+                    && SpareCapacity.existsAt(others, router.inFlight());
         }
 
         private void lookIntoSilence() {
@@ -254,7 +257,7 @@
             if (!ended) {
                 ended = true;
                 accepted(false);
-                router.book().ended(endpoint.id(), run.memoryTokens());
+                router.inFlight().ended(endpoint.id(), run.memoryTokens());
             }
         }
 
@@ -272,10 +275,10 @@
             }
             began = true;
             accepted(true);
-            router.health(endpoint).heard(timeline.millis());
-            router.patience().note(requestClass().name(), timeline.exactMillis() - sentAtMillis);
+            router.health(endpoint).bytesReceived(timeline.millis());
+            router.responseTimes().record(requestClass().name(), timeline.exactMillis() - sentAtMillis);
             if (!overdue) {
-                router.health(endpoint).answeredInTime();
+                router.health(endpoint).respondedInTime();
             }
             firstByteMillis = timeline.exactMillis() - startedAtMillis;
         }
@@ -285,7 +288,7 @@
             if (ended) {
                 return;
             }
-            router.health(endpoint).heard(timeline.millis());
+            router.health(endpoint).bytesReceived(timeline.millis());
             finish();
             over = true;
             report.served(requestClass(), startedAtMillis, firstByteMillis);
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.placement.Rendezvous;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.dialect.PromptPart;
-import org.radishpass.routing.dialect.PromptShape;
 
 /**
  * A request as its caller sends it.
@@ -21,7 +21,7 @@
     private static final String MODEL = "m";
 
     /** Returns what it says of its prompt; empty for a request to a plain service. */
-    Optional<PromptShape> prompt() {
+    Optional<PromptDescription> prompt() {
         if (requestClass.outputTokens() == 0) {
             return Optional.empty();
         }
@@ -30,7 +30,7 @@
                 new PromptPart(requestClass.name() + "/" + subject, requestClass.subjectTokens()),
                 new PromptPart("own " + number, requestClass.ownTokens()));
         int promptTokens = parts.stream().mapToInt(PromptPart::tokens).sum();
-        return Optional.of(new PromptShape(MODEL, promptTokens, outputTokens, parts));
+        return Optional.of(new PromptDescription(MODEL, promptTokens, outputTokens, parts));
     }
 
     /** Returns a well mixed hash of it. */
