--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
@@ -7,11 +7,11 @@
 import org.radishpass.core.placement.Rendezvous;
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
 import org.radishpass.routing.health.EndpointBackoffs;
 import org.radishpass.routing.health.EndpointHealth;
-import org.radishpass.routing.health.HealthBook;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
+import org.radishpass.routing.health.ResponseTimes;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.placement.EndpointChooser;
 import org.radishpass.routing.retry.RetryAllowance;
 import org.radishpass.routing.retry.SharedRetryBudget;
@@ -40,10 +40,10 @@
     private final Set<Policy> policies;
     private final String id;
     private final int routers;
-    private final InFlightBook book = new InFlightBook();
-    private final HealthBook health = new HealthBook();
+    private final InFlightTracker inFlight = new InFlightTracker();
+    private final EndpointHealthTracker health = new EndpointHealthTracker();
     private final EndpointBackoffs backoffs = new EndpointBackoffs();
-    private final AnswerPatience patience = new AnswerPatience();
+    private final ResponseTimes responseTimes = new ResponseTimes();
     private final EndpointChooser chooser;
     private final SharedRetryBudget budget;
     private final List<SimulatedRouter> peers = new ArrayList<>();
@@ -55,7 +55,7 @@
         this.policies = policies;
         this.id = id;
         this.routers = routers;
-        this.chooser = new EndpointChooser(book, new DataCentre("dc"));
+        this.chooser = new EndpointChooser(inFlight, new DataCentre("dc"));
         this.budget = new SharedRetryBudget(allowance, -allowance.windowMillis());
         budget.routers(routers);
     }
@@ -69,12 +69,12 @@
 
     private void tell() {
         long now = timeline.millis();
-        var work = book.ownWork();
+        var work = inFlight.ownWork();
         var failing = health.failingInGroup(now);
         for (SimulatedRouter peer : peers) {
             timeline.after(NETWORK_MILLIS, () -> {
-                peer.book.peerTold(id, WorkScope.GROUP, work, timeline.millis());
-                peer.health.saidToFail(failing, WorkScope.GROUP, timeline.millis());
+                peer.inFlight.recordPeerReport(id, WorkScope.GROUP, work, timeline.millis());
+                peer.health.recordReportedFailing(failing, WorkScope.GROUP, timeline.millis());
             });
         }
         timeline.after(TELL_MILLIS, this::tell);
@@ -83,7 +83,7 @@
     private void look() {
         for (ServiceEndpoint endpoint : fleet.all()) {
             EndpointHealth seen = health(endpoint);
-            if (seen.takeProbe(timeline.millis())) {
+            if (seen.tryBeginProbe(timeline.millis())) {
                 connect(endpoint, () -> seen.connected(timeline.millis()), () -> seen.unreachable(timeline.millis()));
             }
         }
@@ -136,16 +136,16 @@
         return health.of(endpoint.id(), timeline.millis());
     }
 
-    HealthBook healthBook() {
+    EndpointHealthTracker healthTracker() {
         return health;
     }
 
-    InFlightBook book() {
-        return book;
+    InFlightTracker inFlight() {
+        return inFlight;
     }
 
-    AnswerPatience patience() {
-        return patience;
+    ResponseTimes responseTimes() {
+        return responseTimes;
     }
 
     EndpointChooser chooser() {
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/package-info.java
@@ -1,7 +1,7 @@
 /**
  * A simulation of routers, engines and plain services in virtual time.
  *
- * <p>Routers decide with the product's own classes: placement, work in flight, health, patience and retry budget. Engines,
+ * <p>Routers decide with the product's own classes: placement, work in flight, health, response times and retry budget. Engines,
  * services, callers and the network are models, see {@link org.radishpass.simulation.SimulatedEngine} and
  * {@link org.radishpass.simulation.PlainService}. Everything is drawn from one seed, so that a run repeats.
  *
