--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
@@ -81,10 +81,10 @@
     @Test
     void firstLongPollAfterASlowFullReadEndsWithTheResponsibility() {
         follower.start();
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
         Request fullRead = source.next();
         startResponse(fullRead, DOCUMENT_BYTES);
-        scheduler.pass(Duration.ofMillis(500));
+        scheduler.advance(Duration.ofMillis(500));
         respond(fullRead, 7, "1");
         Request first = source.next();
 
@@ -151,7 +151,7 @@
         startAndReadFull();
 
         source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
 
         assertThat(source.next().full).isTrue();
     }
@@ -166,7 +166,7 @@
         Request longPoll = source.next();
 
         follower.storeRestored(Duration.ZERO);
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
 
         assertThat(longPoll.cancelled).isTrue();
         Request fullRead = source.next();
@@ -182,10 +182,10 @@
         source.next();
 
         follower.storeRestored(Duration.ofSeconds(1));
-        scheduler.pass(Duration.ofMillis(999));
+        scheduler.advance(Duration.ofMillis(999));
         assertThat(source.requests).isEmpty();
         readsConfiguration = false;
-        scheduler.pass(Duration.ofSeconds(3));
+        scheduler.advance(Duration.ofSeconds(3));
 
         assertThat(source.requests).isEmpty();
     }
@@ -199,13 +199,13 @@
         while (scheduler.millis() < endMillis) {
             Request request = source.requests.poll();
             if (request == null) {
-                scheduler.pass(ONE_MILLISECOND);
+                scheduler.advance(ONE_MILLISECOND);
             } else if (request.full) {
                 fullReads++;
                 respond(request, 7, "1");
             } else {
                 request.result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
-                scheduler.pass(ONE_MILLISECOND);
+                scheduler.advance(ONE_MILLISECOND);
             }
         }
         assertThat(fullReads).isAtMost(7);
@@ -217,7 +217,7 @@
         Request longPoll = source.next();
         follower.checkForNewer(new StorePosition(2, 1));
         source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
         assertThat(longPoll.cancelled).isTrue();
         assertThat(source.next().full).isTrue();
     }
@@ -234,7 +234,7 @@
 
     private void startAndReadFull() {
         follower.start();
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
         Request first = source.next();
         assertThat(first.full).isTrue();
         startResponse(first, DOCUMENT_BYTES);
@@ -243,7 +243,7 @@
 
     private void startResponse(Request request, long bytes) {
         request.responseStarted.accept(bytes);
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
     }
 
     private void respond(Request request, long revision, String content) {
@@ -253,7 +253,7 @@
     private void respond(Request request, StorePosition position, String content) {
         request.result.tryEmitValue(
                 new ConfigurationReadResult.Published(position, content.getBytes(StandardCharsets.UTF_8)));
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
     }
 
     /** A request to the store. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/CrashingRequestTest.java
@@ -2,8 +2,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/RoutedRouterTest.java
@@ -1,8 +1,8 @@
 package org.radishpass.routing.control;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
@@ -103,7 +103,7 @@
 
     /** Advances the virtual time. */
     void advance(Duration time) {
-        scheduler.pass(time);
+        scheduler.advance(time);
     }
 
     /** Publishes a version of the configuration. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/FakeEndpoint.java
@@ -29,7 +29,7 @@
     private final Script script;
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread accepting;
-    private final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
 
     /**
      * Starts an endpoint that listens on a free port of the loopback interface.
@@ -51,17 +51,17 @@
     }
 
     /** Waits for the next request and removes it from the queue of received requests. */
-    public Seen next() throws InterruptedException {
-        Seen request = seen.poll(20, TimeUnit.SECONDS);
+    public ReceivedRequest nextRequest() throws InterruptedException {
+        ReceivedRequest request = receivedRequests.poll(20, TimeUnit.SECONDS);
         if (request == null) {
             throw new AssertionError("no request reached endpoint " + id);
         }
         return request;
     }
 
-    /** Returns the number of received requests that {@link #next} has not returned yet. */
-    public int unseen() {
-        return seen.size();
+    /** Returns the number of received requests that {@link #nextRequest} has not returned yet. */
+    public int pendingRequests() {
+        return receivedRequests.size();
     }
 
     /** Tells whether the endpoint has been closed. */
@@ -103,20 +103,20 @@
     }
 
     private void serve(Socket socket) {
-        Seen last = null;
+        ReceivedRequest last = null;
         try (socket) {
             InputStream in = socket.getInputStream();
             for (String head = readHead(in); head != null; head = readHead(in)) {
-                last = new Seen(
+                last = new ReceivedRequest(
                         last == null, head, new String(in.readNBytes(length(head)), StandardCharsets.UTF_8), socket);
-                seen.add(last);
-                script.answer(last, socket.getOutputStream());
+                receivedRequests.add(last);
+                script.respond(last, socket.getOutputStream());
             }
         } catch (IOException e) {
             // the router or the script has closed the connection
         } finally {
             if (last != null) {
-                last.gone.countDown();
+                last.connectionClosed.countDown();
             }
         }
     }
@@ -165,20 +165,20 @@
          * @param request the request
          * @param out the output stream of the connection
          */
-        void answer(Seen request, OutputStream out) throws IOException;
+        void respond(ReceivedRequest request, OutputStream out) throws IOException;
     }
 
     /** A request that the endpoint has received. */
-    public static final class Seen {
+    public static final class ReceivedRequest {
         /** Counted down after the connection has been closed; counts for the last request of a connection only. */
-        public final java.util.concurrent.CountDownLatch gone = new java.util.concurrent.CountDownLatch(1);
+        public final java.util.concurrent.CountDownLatch connectionClosed = new java.util.concurrent.CountDownLatch(1);
 
         private final boolean firstOnConnection;
         private final String head;
         private final String body;
         private final Socket socket;
 
-        private Seen(boolean firstOnConnection, String head, String body, Socket socket) {
+        private ReceivedRequest(boolean firstOnConnection, String head, String body, Socket socket) {
             this.firstOnConnection = firstOnConnection;
             this.head = head;
             this.body = body;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficBed.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/TrafficFixture.java
@@ -31,7 +31,7 @@
 import reactor.netty.resources.LoopResources;
 
 /** A test fixture with a router's traffic server on the loopback interface, whose routing view is set by the test. */
-public final class TrafficBed implements AutoCloseable {
+public final class TrafficFixture implements AutoCloseable {
     /** The name of the service of all routes. */
     public static final String SERVICE = "service";
 
@@ -47,7 +47,7 @@
     private long targetMillis = 1_000;
 
     /** Starts a traffic server whose routing view is unknown. */
-    public TrafficBed() throws Exception {
+    public TrafficFixture() throws Exception {
         server = new TrafficServer(
                 loops.onServer(false).next(),
                 () -> MonotonicClock.SYSTEM.millis() + skippedMillis.get(),
@@ -61,14 +61,14 @@
         listening = server.serve(socket).get(20, TimeUnit.SECONDS);
     }
 
-    /** Sets the time within which responses should begin, in milliseconds; to be called before {@link #knows}. */
-    public TrafficBed target(long millis) {
+    /** Sets the time within which responses should begin, in milliseconds; to be called before {@link #configure}. */
+    public TrafficFixture target(long millis) {
         targetMillis = millis;
         return this;
     }
 
-    /** Sets the maximum number of endpoints that may run a request; to be called before {@link #knows}. */
-    public TrafficBed attempts(int max) {
+    /** Sets the maximum number of endpoints that may run a request; to be called before {@link #configure}. */
+    public TrafficFixture attempts(int max) {
         maxAttempts = max;
         return this;
     }
@@ -77,7 +77,7 @@
      * Sets a routing view with the given endpoints and the routes /once/, /again/, /stream/ and /resume/ with a
      * timeout.
      */
-    public TrafficBed knows(long timeoutMillis, FakeEndpoint... endpoints) {
+    public TrafficFixture configure(long timeoutMillis, FakeEndpoint... endpoints) {
         List<ServiceEndpoint> known = new ArrayList<>();
         Arrays.stream(endpoints).forEach(endpoint -> known.add(endpoint.endpoint(SERVICE)));
         RoutingConfiguration.Builder configuration = RoutingConfiguration.builder(1)
@@ -93,36 +93,36 @@
     }
 
     /** Changes the routing view to one with the given conditions for new requests to endpoints. */
-    public TrafficBed restricts(EndpointEligibility eligibility) {
-        RoutingView known = view;
+    public TrafficFixture restrict(EndpointEligibility eligibility) {
+        RoutingView previous = view;
         view = new RoutingView(
-                known.configurationInForce(),
-                known.inForceSinceMillis(),
-                known.newerConfigurationExpectedUntilMillis(),
-                known.directory(),
-                known.directoryKnown(),
-                known.receiving(),
-                known.origin(),
-                known.routers(),
+                previous.configurationInForce(),
+                previous.inForceSinceMillis(),
+                previous.newerConfigurationExpectedUntilMillis(),
+                previous.directory(),
+                previous.directoryKnown(),
+                previous.receiving(),
+                previous.origin(),
+                previous.routers(),
                 eligibility,
                 FleetMembers.of("self", List.of()));
         return this;
     }
 
     /** Changes the routing view to one that expects a newer configuration within a time in milliseconds. */
-    public TrafficBed hearsOfNewer(long withinMillis) {
-        RoutingView known = view;
+    public TrafficFixture expectNewerConfiguration(long withinMillis) {
+        RoutingView previous = view;
         view = new RoutingView(
-                known.configurationInForce(),
-                known.inForceSinceMillis(),
+                previous.configurationInForce(),
+                previous.inForceSinceMillis(),
                 nowMillis() + withinMillis,
-                known.directory(),
-                known.directoryKnown(),
-                known.receiving(),
-                known.origin(),
-                known.routers(),
-                known.eligibility(),
-                known.members());
+                previous.directory(),
+                previous.directoryKnown(),
+                previous.receiving(),
+                previous.origin(),
+                previous.routers(),
+                previous.eligibility(),
+                previous.members());
         return this;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /** Advances the traffic server's clock. The timers of the event loop are not affected. */
-    public void skip(long millis) {
+    public void advanceClock(long millis) {
         skippedMillis.addAndGet(millis);
     }
 
@@ -141,11 +141,11 @@
      *
      * @return an object whose close method releases the thread
      */
-    public Standstill standStill() throws InterruptedException {
-        Standstill standstill = new Standstill();
-        loops.onServer(false).next().execute(standstill::hold);
-        standstill.begun.await();
-        return standstill;
+    public Blockage blockTrafficThread() throws InterruptedException {
+        Blockage blockage = new Blockage();
+        loops.onServer(false).next().execute(blockage::hold);
+        blockage.begun.await();
+        return blockage;
     }
 
     /** Returns the traffic server. */
@@ -159,7 +159,7 @@
     }
 
     /** A blockage of the traffic thread, which ends when this object is closed. */
-    public static final class Standstill implements AutoCloseable {
+    public static final class Blockage implements AutoCloseable {
         private final CountDownLatch begun = new CountDownLatch(1);
         private final CountDownLatch over = new CountDownLatch(1);
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualScheduler.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/testing/VirtualScheduler.java
@@ -27,7 +27,7 @@
     }
 
     /** Advances the virtual time, and runs the tasks that become due. */
-    public void pass(Duration time) {
+    public void advance(Duration time) {
         long endNanos = nowNanos + time.toNanos();
         Task next = tasks.peek();
         while (next != null && next.dueNanos <= endNanos) {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ConnectionReuseTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/ConnectionReuseTest.java
@@ -1,42 +1,42 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.chunk;
-import static org.radishpass.routing.testing.Answers.event;
-import static org.radishpass.routing.testing.Answers.streamHead;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.chunk;
+import static org.radishpass.routing.testing.ResponseText.event;
+import static org.radishpass.routing.testing.ResponseText.streamHead;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /** Checks which idle connections to endpoints are reused. */
 final class ConnectionReuseTest {
     private static final long TIMEOUT_MILLIS = 20_000;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     ConnectionReuseTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @Test
     void reusesAConnectionThatWasJustUsed() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "1", "x").readUntil("ok");
             caller.request("POST", "/once/", "2", "x").readUntil("ok");
-            assertThat(endpoint.next().firstOnConnection()).isTrue();
-            assertThat(endpoint.next().firstOnConnection()).isFalse();
+            assertThat(endpoint.nextRequest().firstOnConnection()).isTrue();
+            assertThat(endpoint.nextRequest().firstOnConnection()).isFalse();
         }
     }
 
@@ -52,17 +52,17 @@
                         write(out, whole(request, 200, "ok"));
                     }
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller();
-                TestCaller listener = bed.caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller();
+                TestCaller listener = fixture.caller()) {
             listener.request("POST", "/stream/", "1", "x").readUntil("event 1");
             caller.request("POST", "/once/", "2", "x").readUntil("ok");
-            bed.skip(400);
+            fixture.advanceClock(400);
             sendSecondEvent.countDown();
             listener.readUntil("event 2");
             caller.request("POST", "/once/", "3", "x").readUntil("ok");
-            endpoint.next();
-            endpoint.next();
-            assertThat(endpoint.next().firstOnConnection()).isTrue();
+            endpoint.nextRequest();
+            endpoint.nextRequest();
+            assertThat(endpoint.nextRequest().firstOnConnection()).isTrue();
         }
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/DisconnectedCallersTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/DisconnectedCallersTest.java
@@ -1,8 +1,8 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Guards against forwarding requests of callers that have disconnected. After a power failure of all routers, 146 such
@@ -26,30 +26,31 @@
     /** Several times the number of requests that start in one iteration of the event loop. */
     private static final int CALLERS = 4 * ArrivalQueue.MAX_STARTS_PER_ITERATION;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     DisconnectedCallersTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x"})
     void requestsOfCallersThatDisconnectedDuringAPauseAreNotForwarded(String path) throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller connectedCaller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller connectedCaller =
+                        fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertAnswered(connectedCaller, path, "warm");
-            endpoint.next();
-            try (TrafficBed.Standstill standstill = bed.standStill()) {
+            endpoint.nextRequest();
+            try (TrafficFixture.Blockage blockage = fixture.blockTrafficThread()) {
                 connectAndDisconnectCallers(path);
             }
             assertAnswered(connectedCaller, path, "stays");
-            assertThat(endpoint.next().header("X-Id")).isEqualTo("stays");
-            assertThat(endpoint.unseen()).isEqualTo(0);
+            assertThat(endpoint.nextRequest().header("X-Id")).isEqualTo("stays");
+            assertThat(endpoint.pendingRequests()).isEqualTo(0);
         }
     }
 
@@ -58,25 +59,26 @@
     void requestsOfCallersThatDisconnectWhileAnEndpointConnectionIsEstablishedAreNotForwarded(String path)
             throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller connectedCaller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller connectedCaller =
+                        fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             List<TestCaller> disconnecting = new ArrayList<>();
             for (int caller = 0; caller < CALLERS; caller++) {
-                disconnecting.add(bed.caller());
+                disconnecting.add(fixture.caller());
             }
-            try (TrafficBed.Standstill standstill = bed.standStill()) {
+            try (TrafficFixture.Blockage blockage = fixture.blockTrafficThread()) {
                 for (TestCaller caller : disconnecting) {
                     caller.request("GET", path, "leaves", "").close();
                 }
             }
             assertAnswered(connectedCaller, path, "stays");
-            assertThat(endpoint.next().header("X-Id")).isEqualTo("stays");
-            assertThat(endpoint.unseen()).isEqualTo(0);
+            assertThat(endpoint.nextRequest().header("X-Id")).isEqualTo("stays");
+            assertThat(endpoint.pendingRequests()).isEqualTo(0);
         }
     }
 
     private void connectAndDisconnectCallers(String path) throws IOException {
         for (int caller = 0; caller < CALLERS; caller++) {
-            bed.caller().request("GET", path, "leaves", "").close();
+            fixture.caller().request("GET", path, "leaves", "").close();
         }
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFailureTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointFailureTest.java
@@ -1,18 +1,18 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.chunk;
-import static org.radishpass.routing.testing.Answers.end;
-import static org.radishpass.routing.testing.Answers.notRun;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.chunk;
+import static org.radishpass.routing.testing.ResponseText.end;
+import static org.radishpass.routing.testing.ResponseText.notRun;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.PlainDialect;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Checks what callers and endpoints receive when endpoints fail, for every kind of failure that is visible in the
@@ -21,21 +21,21 @@
 final class EndpointFailureTest {
     private static final long TIMEOUT_MILLIS = 20_000;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     EndpointFailureTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "hello")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             String head = String.join(
                     "\r\n",
                     "POST /once/x?q=1 HTTP/1.1",
@@ -46,21 +46,21 @@
                     "Transfer-Encoding: chunked");
             caller.send(head + "\r\n\r\n" + chunk("abc") + end());
             String response = caller.readUntil("hello");
-            FakeEndpoint.Seen seen = endpoint.next();
+            FakeEndpoint.ReceivedRequest received = endpoint.nextRequest();
 
-            assertThat(seen.line()).isEqualTo("POST /once/x?q=1 HTTP/1.1");
-            assertThat(seen.body()).isEqualTo("abc");
-            assertThat(seen.header(PlainDialect.ID)).isEqualTo("7");
-            assertThat(seen.header("X-Other")).isEqualTo("kept");
-            assertThat(seen.header(PlainDialect.WORKSPACE)).isEmpty();
-            assertThat(seen.header(PlainDialect.ENDPOINT)).isEqualTo("a");
+            assertThat(received.line()).isEqualTo("POST /once/x?q=1 HTTP/1.1");
+            assertThat(received.body()).isEqualTo("abc");
+            assertThat(received.header(PlainDialect.ID)).isEqualTo("7");
+            assertThat(received.header("X-Other")).isEqualTo("kept");
+            assertThat(received.header(PlainDialect.WORKSPACE)).isEmpty();
+            assertThat(received.header(PlainDialect.ENDPOINT)).isEqualTo("a");
             assertThat(response).startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
     void aRouterWithoutConfigurationRefusesRequestsAsNotRun() throws Exception {
-        try (TestCaller caller = bed.caller()) {
+        try (TestCaller caller = fixture.caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
             assertThat(response).startsWith("HTTP/1.1 503");
             assertThat(response.toLowerCase(java.util.Locale.ROOT)).contains("retry-after");
@@ -71,10 +71,11 @@
     void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> request.reset());
                 FakeEndpoint other = new FakeEndpoint("b", (request, out) -> request.reset());
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint, other).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, endpoint, other).caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n");
             assertThat(response).startsWith("HTTP/1.1 502");
-            assertThat(endpoint.unseen() + other.unseen()).isEqualTo(1);
+            assertThat(endpoint.pendingRequests() + other.pendingRequests()).isEqualTo(1);
         }
     }
 
@@ -83,7 +84,7 @@
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
                 FakeEndpoint healthy = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
                 TestCaller caller =
-                        bed.knows(TIMEOUT_MILLIS, rejecting, healthy).caller()) {
+                        fixture.configure(TIMEOUT_MILLIS, rejecting, healthy).caller()) {
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("POST", "/once/", "r" + request, "x").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -94,7 +95,7 @@
     @Test
     void aRequestThatEveryEndpointRejectsIsRefusedAsNotRun() throws Exception {
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> write(out, notRun(request)));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, rejecting).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("\r\n\r\n"))
                     .startsWith("HTTP/1.1 503");
         }
@@ -105,7 +106,7 @@
         try (FakeEndpoint resetting = new FakeEndpoint("a", (request, out) -> request.reset());
                 FakeEndpoint rejecting = new FakeEndpoint("b", (request, out) -> write(out, notRun(request)));
                 TestCaller caller =
-                        bed.knows(TIMEOUT_MILLIS, resetting, rejecting).caller()) {
+                        fixture.configure(TIMEOUT_MILLIS, resetting, rejecting).caller()) {
             for (int request = 0; request < 8; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("}"))
                         .startsWith("HTTP/1.1 502");
@@ -117,7 +118,8 @@
     void skipsAnEndpointThatRefusesConnections() throws Exception {
         FakeEndpoint exited = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
         try (FakeEndpoint healthy = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, exited, healthy).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, exited, healthy).caller()) {
             exited.close();
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("POST", "/once/", "r" + request, "x").readUntil("ok"))
@@ -135,7 +137,7 @@
                 });
                 FakeEndpoint succeeding =
                         new FakeEndpoint("c", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, erroneous, truncating, succeeding)
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, erroneous, truncating, succeeding)
                         .caller()) {
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("ok"))
@@ -150,7 +152,7 @@
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: stranger\r\nContent-Length: 5\r\n\r\nwrong");
                     write(out, whole(request, 200, "right"));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readUntil("right");
             assertThat(response).doesNotContain("wrong");
         }
@@ -161,7 +163,7 @@
         try (FakeEndpoint endpoint = new FakeEndpoint(
                         "a",
                         (request, out) -> write(out, whole(request, 200, "right") + whole(request, 200, "extra")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             for (int request = 0; request < 5; request++) {
                 String response =
                         caller.request("POST", "/once/", "r" + request, "x").readUntil("right");
@@ -174,7 +176,7 @@
     @Test
     void doesNotRelayMalformedResponses() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, "\u0001garbage\r\n\r\n"));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readUntil("}");
             assertThat(response).startsWith("HTTP/1.1 502");
             assertThat(response).doesNotContain("garbage");
@@ -188,7 +190,7 @@
                         (request, out) -> write(
                                 out,
                                 whole(request, 200, "").replace("Content-Length", "X-Unsigned: 1\r\nContent-Length")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/stream/", "7", "x").readUntil("}"))
                     .startsWith("HTTP/1.1 502");
         }
@@ -201,7 +203,7 @@
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 200000\r\n\r\n" + longBody);
                     request.reset();
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             String response = caller.request("POST", "/once/", "7", "x").readAll();
             assertThat(response.length()).isLessThan(150_000);
         }
@@ -213,7 +215,7 @@
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nsome");
                     request.reset();
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("}"))
                     .startsWith("HTTP/1.1 502");
         }
@@ -225,7 +227,7 @@
                     write(out, "HTTP/1.1 200 OK\r\nX-Id: 7\r\n\r\nsome");
                     out.close();
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("0\r\n\r\n"))
                     .contains("some");
         }
@@ -240,9 +242,10 @@
                     }
                     write(out, whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, singleRequest).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, singleRequest).caller()) {
             caller.request("GET", "/again/", "first", "").readUntil("ok");
-            bed.knows(TIMEOUT_MILLIS, resetting, singleRequest);
+            fixture.configure(TIMEOUT_MILLIS, resetting, singleRequest);
             for (int request = 0; request < 6; request++) {
                 assertThat(caller.request("GET", "/again/", "r" + request, "").readUntil("ok"))
                         .startsWith("HTTP/1.1 200");
@@ -253,10 +256,10 @@
     @Test
     void aTimedOutRequestIsAnsweredWithoutClaimingNotRun() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> out.flush());
-                TestCaller caller = bed.knows(300, endpoint).caller()) {
+                TestCaller caller = fixture.configure(300, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x").readUntil("}"))
                     .startsWith("HTTP/1.1 504");
-            assertThat(Long.parseLong(endpoint.next().header(PlainDialect.LEFT)))
+            assertThat(Long.parseLong(endpoint.nextRequest().header(PlainDialect.LEFT)))
                     .isAtMost(300);
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointSignalsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/EndpointSignalsTest.java
@@ -1,8 +1,8 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.util.Locale;
@@ -15,7 +15,7 @@
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.PlainDialect;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /** Checks over loopback which requests reach an endpoint after it stated in a response that it accepts none. */
 final class EndpointSignalsTest {
@@ -24,15 +24,15 @@
     private static final long SHORT_BACKOFF_MILLIS = 200;
     private static final int REQUESTS = 30;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     EndpointSignalsTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     /**
@@ -47,7 +47,8 @@
                     write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
                 });
                 FakeEndpoint other = healthyEndpoint("b");
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving, other).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, leaving, other).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
@@ -64,7 +65,7 @@
                     received.incrementAndGet();
                     write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 200, "ok")));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, leaving).caller()) {
             assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             String head = caller.request("GET", path, "r", "").readUntil("\r\n\r\n");
             assertThat(head).startsWith("HTTP/1.1 503");
@@ -84,7 +85,8 @@
                     write(out, withHeaders(PlainDialect.LEAVING + ": 1", whole(request, 500, "")));
                 });
                 FakeEndpoint failing = new FakeEndpoint("b", (request, out) -> write(out, whole(request, 500, "")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, leaving, failing).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, leaving, failing).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 500");
             }
@@ -101,7 +103,8 @@
                     write(out, rejection(request, BACKOFF_MILLIS));
                 });
                 FakeEndpoint other = healthyEndpoint("b");
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting, other).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, rejecting, other).caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
@@ -117,7 +120,7 @@
                     received.incrementAndGet();
                     write(out, rejection(request, BACKOFF_MILLIS));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, rejecting).caller()) {
             caller.readBody(caller.request("GET", path, "r", "").readUntil("\r\n\r\n"));
             String head = caller.request("GET", path, "r", "").readUntil("\r\n\r\n");
             caller.readBody(head);
@@ -126,7 +129,7 @@
             assertThat(retryAfterSeconds(head)).isAtMost(BACKOFF_MILLIS / 1_000.0 + 1);
             assertThat(received.get()).isEqualTo(1);
 
-            bed.skip(BACKOFF_MILLIS);
+            fixture.advanceClock(BACKOFF_MILLIS);
             caller.readBody(caller.request("GET", path, "r", "").readUntil("\r\n\r\n"));
             assertThat(received.get()).isEqualTo(2);
         }
@@ -145,14 +148,15 @@
                     executed.incrementAndGet();
                     write(out, whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.attempts(1)
-                        .knows(TIMEOUT_MILLIS, first, second, third, healthy)
+                TestCaller caller = fixture.attempts(1)
+                        .configure(TIMEOUT_MILLIS, first, second, third, healthy)
                         .caller()) {
             for (int request = 0; request < REQUESTS; request++) {
                 assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
             }
             assertThat(executed.get()).isEqualTo(REQUESTS);
-            assertThat(first.unseen() + second.unseen() + third.unseen()).isAtMost(3);
+            assertThat(first.pendingRequests() + second.pendingRequests() + third.pendingRequests())
+                    .isAtMost(3);
         }
     }
 
@@ -167,8 +171,8 @@
                     boolean first = rejected.getAndIncrement() == 0;
                     write(out, first ? rejection(request, SHORT_BACKOFF_MILLIS) : whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.target(TIMEOUT_MILLIS)
-                        .knows(TIMEOUT_MILLIS, overloaded)
+                TestCaller caller = fixture.target(TIMEOUT_MILLIS)
+                        .configure(TIMEOUT_MILLIS, overloaded)
                         .caller()) {
             assertThat(status(caller)).isEqualTo("HTTP/1.1 503");
             assertThat(status(caller)).isEqualTo("HTTP/1.1 200");
@@ -183,14 +187,14 @@
     @Test
     void limitsABackoffToTheConfiguredMaximum() throws Exception {
         AtomicInteger received = new AtomicInteger();
-        bed.server().maxBackoffMillis(1_000);
+        fixture.server().maxBackoffMillis(1_000);
         try (FakeEndpoint rejecting = new FakeEndpoint("a", (request, out) -> {
                     received.incrementAndGet();
                     write(out, rejection(request, 1_000_000_000_000L));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, rejecting).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, rejecting).caller()) {
             status(caller);
-            bed.skip(1_000);
+            fixture.advanceClock(1_000);
             status(caller);
             assertThat(received.get()).isEqualTo(2);
         }
@@ -209,7 +213,7 @@
         return new FakeEndpoint(id, (request, out) -> write(out, whole(request, 200, "ok")));
     }
 
-    private static String rejection(FakeEndpoint.Seen request, long backoffMillis) {
+    private static String rejection(FakeEndpoint.ReceivedRequest request, long backoffMillis) {
         return withHeaders(
                 PlainDialect.NOT_RUN + ": 1\r\n" + PlainDialect.BACKOFF + ": " + backoffMillis,
                 whole(request, 503, ""));
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/NewerConfigurationTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/NewerConfigurationTest.java
@@ -1,15 +1,15 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Guards against denials by an outdated configuration. Restarted routers on an eighth of a core received a new
@@ -20,23 +20,23 @@
     private static final long TIMEOUT_MILLIS = 20_000;
     private static final long EXPECTED_WITHIN_MILLIS = 5_000;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     NewerConfigurationTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @Test
     void doesNotDenyWhatAnExpectedNewerConfigurationMayAllow() throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 404");
-            bed.hearsOfNewer(EXPECTED_WITHIN_MILLIS);
+            fixture.expectNewerConfiguration(EXPECTED_WITHIN_MILLIS);
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 503");
             assertThat(status(caller, "/again/x")).isEqualTo("HTTP/1.1 200");
         }
@@ -45,10 +45,10 @@
     @Test
     void deniesAgainIfTheNewerConfigurationDoesNotArrive() throws Exception {
         try (FakeEndpoint endpoint = endpoint();
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint)
-                        .hearsOfNewer(EXPECTED_WITHIN_MILLIS)
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint)
+                        .expectNewerConfiguration(EXPECTED_WITHIN_MILLIS)
                         .caller()) {
-            bed.skip(EXPECTED_WITHIN_MILLIS + 1);
+            fixture.advanceClock(EXPECTED_WITHIN_MILLIS + 1);
             assertThat(status(caller, "/new/x")).isEqualTo("HTTP/1.1 404");
         }
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/OverdueResponseTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/OverdueResponseTest.java
@@ -1,15 +1,15 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Checks how requests are handled whose endpoint accepts connections but does not respond, once the usual response time
@@ -23,15 +23,15 @@
     private static final int TRAINING_REQUESTS = 40;
 
     private final AtomicInteger unansweredRequests = new AtomicInteger();
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     OverdueResponseTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @Test
@@ -39,11 +39,11 @@
         try (FakeEndpoint first = endpoint("a");
                 FakeEndpoint second = endpoint("b");
                 TestCaller caller =
-                        bed.knows(LONG_TIMEOUT_MILLIS, first, second).caller()) {
+                        fixture.configure(LONG_TIMEOUT_MILLIS, first, second).caller()) {
             measureUsualResponseTime(caller, "/again/x");
             unansweredRequests.set(1);
             assertThat(status(caller, "/again/silent")).isEqualTo("HTTP/1.1 200");
-            assertThat(first.unseen() + second.unseen()).isEqualTo(TRAINING_REQUESTS + 2);
+            assertThat(first.pendingRequests() + second.pendingRequests()).isEqualTo(TRAINING_REQUESTS + 2);
         }
     }
 
@@ -52,22 +52,23 @@
         try (FakeEndpoint first = endpoint("a");
                 FakeEndpoint second = endpoint("b");
                 TestCaller caller =
-                        bed.knows(SHORT_TIMEOUT_MILLIS, first, second).caller()) {
+                        fixture.configure(SHORT_TIMEOUT_MILLIS, first, second).caller()) {
             measureUsualResponseTime(caller, "/once/x");
             unansweredRequests.set(1);
             assertThat(status(caller, "/once/silent")).isEqualTo("HTTP/1.1 504");
-            assertThat(first.unseen() + second.unseen()).isEqualTo(TRAINING_REQUESTS + 1);
+            assertThat(first.pendingRequests() + second.pendingRequests()).isEqualTo(TRAINING_REQUESTS + 1);
         }
     }
 
     @Test
     void doesNotRetryWithoutAnotherEndpoint() throws Exception {
         try (FakeEndpoint first = endpoint("a");
-                TestCaller caller = bed.knows(SHORT_TIMEOUT_MILLIS, first).caller()) {
+                TestCaller caller =
+                        fixture.configure(SHORT_TIMEOUT_MILLIS, first).caller()) {
             measureUsualResponseTime(caller, "/again/x");
             unansweredRequests.set(1);
             assertThat(status(caller, "/again/silent")).isEqualTo("HTTP/1.1 504");
-            assertThat(first.unseen()).isEqualTo(TRAINING_REQUESTS + 1);
+            assertThat(first.pendingRequests()).isEqualTo(TRAINING_REQUESTS + 1);
         }
     }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/QuarantinedRequestTest.java
@@ -1,8 +1,8 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Checks the responses to callers whose request crashes its endpoint, and that other requests are served meanwhile.
@@ -24,16 +24,16 @@
     /** Milliseconds within which an exit is certainly detected; a connection over loopback is refused within 1 ms. */
     private static final long EXIT_DETECTION_MILLIS = 300;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
     private final List<FakeEndpoint> endpoints = new ArrayList<>();
 
     QuarantinedRequestTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() throws IOException {
-        bed.close();
+        fixture.close();
         for (FakeEndpoint endpoint : endpoints) {
             endpoint.close();
         }
@@ -75,7 +75,7 @@
                 new FakeEndpoint("dying", (request, out) -> endpoints.get(0).close());
         endpoints.add(exiting);
         FakeEndpoint healthy = healthyEndpoint("sound");
-        bed.knows(TIMEOUT_MILLIS, exiting, healthy);
+        fixture.configure(TIMEOUT_MILLIS, exiting, healthy);
         for (int request = 0; request < 6; request++) {
             assertThat(send("/again/", "innocent")).startsWith("HTTP/1.1 200");
         }
@@ -86,7 +86,7 @@
         for (int number = 0; number < 3; number++) {
             endpoints.add(new FakeEndpoint("resetting-" + number, (request, out) -> request.reset()));
         }
-        bed.knows(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
+        fixture.configure(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
         for (int request = 0; request < 6; request++) {
             assertThat(send("/once/", "innocent")).startsWith("HTTP/1.1 502");
         }
@@ -98,8 +98,8 @@
         send("/once/", CRASHING_BODY);
         send("/once/", CRASHING_BODY);
         assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 503");
-        bed.knows(TIMEOUT_MILLIS, healthyEndpoint("mended"));
-        bed.skip(61_000);
+        fixture.configure(TIMEOUT_MILLIS, healthyEndpoint("mended"));
+        fixture.advanceClock(61_000);
         assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 200");
         assertThat(send("/once/", CRASHING_BODY)).startsWith("HTTP/1.1 200");
     }
@@ -115,7 +115,7 @@
                 }
             }));
         }
-        bed.knows(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
+        fixture.configure(TIMEOUT_MILLIS, endpoints.toArray(FakeEndpoint[]::new));
     }
 
     private FakeEndpoint healthyEndpoint(String id) throws IOException {
@@ -125,7 +125,7 @@
     }
 
     private String send(String path, String body) throws Exception {
-        try (TestCaller caller = bed.caller()) {
+        try (TestCaller caller = fixture.caller()) {
             String head = caller.request("POST", path, "r", body).readUntil("\r\n\r\n");
             caller.readBody(head);
             return head;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/RestrictedEndpointsTest.java
@@ -1,8 +1,8 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.io.IOException;
 import java.util.Map;
@@ -16,7 +16,7 @@
 import org.radishpass.routing.fleet.RegionMap;
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /** Checks how requests are placed while endpoints are in a drained data centre, or have just started. */
 final class RestrictedEndpointsTest {
@@ -26,28 +26,28 @@
     /** The number of requests per second that this router alone may send to a cold endpoint. */
     private static final int COLD_REQUESTS_PER_SECOND = 2;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     RestrictedEndpointsTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/once/x", "/stream/x", "/resume/x"})
     void refusesARequestAsNotRunIfEveryDataCentreIsDrained(String path) throws Exception {
         try (FakeEndpoint endpoint = endpoint("a");
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint)
-                        .restricts(new EndpointEligibility(Set.of(new DataCentre("here")), Map.of(), RegionMap.EMPTY))
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint)
+                        .restrict(new EndpointEligibility(Set.of(new DataCentre("here")), Map.of(), RegionMap.EMPTY))
                         .caller()) {
             String head = caller.request("GET", path, "r", "").readUntil("\r\n\r\n");
             assertThat(head).startsWith("HTTP/1.1 503");
             assertThat(head).contains("retry-after");
-            assertThat(endpoint.unseen()).isEqualTo(0);
+            assertThat(endpoint.pendingRequests()).isEqualTo(0);
         }
     }
 
@@ -55,30 +55,31 @@
     void sendsAllRequestsToWarmEndpointsWhileTheyHaveCapacity() throws Exception {
         try (FakeEndpoint warm = endpoint("a");
                 FakeEndpoint cold = endpoint("b");
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, warm, cold)
-                        .restricts(cold("b"))
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, warm, cold)
+                        .restrict(cold("b"))
                         .caller()) {
             for (int request = 0; request < 20; request++) {
                 assertThat(status(caller, "/again/x")).isEqualTo("HTTP/1.1 200");
             }
-            assertThat(cold.unseen()).isEqualTo(0);
+            assertThat(cold.pendingRequests()).isEqualTo(0);
         }
     }
 
     @Test
     void limitsTheRequestsToTheOnlyEndpointWhileItIsCold() throws Exception {
         try (FakeEndpoint cold = endpoint("b");
-                TestCaller caller =
-                        bed.knows(TIMEOUT_MILLIS, cold).restricts(cold("b")).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, cold)
+                        .restrict(cold("b"))
+                        .caller()) {
             for (int request = 0; request < COLD_REQUESTS_PER_SECOND; request++) {
                 assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
             }
             assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 503");
-            assertThat(cold.unseen()).isEqualTo(COLD_REQUESTS_PER_SECOND);
+            assertThat(cold.pendingRequests()).isEqualTo(COLD_REQUESTS_PER_SECOND);
 
-            bed.skip(2_000);
+            fixture.advanceClock(2_000);
             assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
-            bed.skip(COLD_MILLIS);
+            fixture.advanceClock(COLD_MILLIS);
             for (int request = 0; request < 3 * COLD_REQUESTS_PER_SECOND; request++) {
                 assertThat(status(caller, "/once/x")).isEqualTo("HTTP/1.1 200");
             }
@@ -86,7 +87,7 @@
     }
 
     private EndpointEligibility cold(String id) {
-        return new EndpointEligibility(Set.of(), Map.of(id, bed.nowMillis() + COLD_MILLIS), RegionMap.EMPTY);
+        return new EndpointEligibility(Set.of(), Map.of(id, fixture.nowMillis() + COLD_MILLIS), RegionMap.EMPTY);
     }
 
     private static String status(TestCaller caller, String path) throws IOException {
--- a/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/traffic/StreamAndCallerTest.java
@@ -1,12 +1,12 @@
 package org.radishpass.routing.traffic;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.radishpass.routing.testing.Answers.chunk;
-import static org.radishpass.routing.testing.Answers.end;
-import static org.radishpass.routing.testing.Answers.event;
-import static org.radishpass.routing.testing.Answers.streamHead;
-import static org.radishpass.routing.testing.Answers.whole;
-import static org.radishpass.routing.testing.Answers.write;
+import static org.radishpass.routing.testing.ResponseText.chunk;
+import static org.radishpass.routing.testing.ResponseText.end;
+import static org.radishpass.routing.testing.ResponseText.event;
+import static org.radishpass.routing.testing.ResponseText.streamHead;
+import static org.radishpass.routing.testing.ResponseText.whole;
+import static org.radishpass.routing.testing.ResponseText.write;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -16,7 +16,7 @@
 import org.radishpass.routing.testing.FakeEndpoint;
 import org.radishpass.routing.testing.PlainDialect;
 import org.radishpass.routing.testing.TestCaller;
-import org.radishpass.routing.testing.TrafficBed;
+import org.radishpass.routing.testing.TrafficFixture;
 
 /**
  * Checks streams and the connections of callers: failed streams, disconnects, pipelined requests and the stop of the
@@ -25,15 +25,15 @@
 final class StreamAndCallerTest {
     private static final long TIMEOUT_MILLIS = 20_000;
 
-    private final TrafficBed bed;
+    private final TrafficFixture fixture;
 
     StreamAndCallerTest() throws Exception {
-        bed = new TrafficBed();
+        fixture = new TrafficFixture();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        fixture.close();
     }
 
     /**
@@ -48,13 +48,13 @@
                     received.incrementAndGet();
                     write(out, whole(request, 200, "done"));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "first", "x").readUntil("done");
             caller.send("POST /once/ HTTP/1.1\r\nHost: api\r\n" + PlainDialect.ID
                             + ": second\r\nExpect: 100-continue\r\n" + "Content-Length: 1\r\n\r\n")
                     .readUntil("100 Continue\r\n\r\n");
             CompletableFuture<Integer> stopped = new CompletableFuture<>();
-            bed.server().stopIfIdle(false, stopped::complete);
+            fixture.server().stopIfIdle(false, stopped::complete);
             assertThat(stopped.get(20, TimeUnit.SECONDS)).isEqualTo(0);
 
             assertThat(caller.send("x").readUntil("\r\n")).contains("503");
@@ -76,7 +76,8 @@
                     }
                     write(out, streamHead(request) + events + end());
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, failing, resuming).caller()) {
+                TestCaller caller =
+                        fixture.configure(TIMEOUT_MILLIS, failing, resuming).caller()) {
             for (int request = 0; request < 6; request++) {
                 String response =
                         caller.request("POST", "/resume/", "r" + request, "x").readUntil("0\r\n\r\n");
@@ -94,22 +95,22 @@
                     request.reset();
                 });
                 FakeEndpoint other = new FakeEndpoint("b", (request, out) -> request.reset());
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, failing).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, failing).caller()) {
             String response = caller.request("POST", "/stream/", "7", "x").readAll();
             assertThat(response).contains("event 1");
             assertThat(response).doesNotContain("0\r\n\r\n");
-            assertThat(other.unseen()).isEqualTo(0);
+            assertThat(other.pendingRequests()).isEqualTo(0);
         }
     }
 
     @Test
     void theEndpointConnectionIsClosedWhenTheCallerDisconnects() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, streamHead(request)));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/stream/", "7", "x");
-            FakeEndpoint.Seen seen = endpoint.next();
+            FakeEndpoint.ReceivedRequest received = endpoint.nextRequest();
             caller.close();
-            assertThat(seen.gone.await(20, TimeUnit.SECONDS)).isTrue();
+            assertThat(received.connectionClosed.await(20, TimeUnit.SECONDS)).isTrue();
         }
     }
 
@@ -120,13 +121,13 @@
                     awaitQuietly(respond);
                     write(out, whole(request, 200, "ok"));
                 });
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "7", "x");
-            endpoint.next();
-            bed.server().closeAfterResponses();
-            bed.server().refuseNew();
+            endpoint.nextRequest();
+            fixture.server().closeAfterResponses();
+            fixture.server().refuseNew();
             CompletableFuture<Integer> active = new CompletableFuture<>();
-            bed.server().stopIfIdle(true, active::complete);
+            fixture.server().stopIfIdle(true, active::complete);
             assertThat(active.get(20, TimeUnit.SECONDS)).isEqualTo(1);
             respond.countDown();
             String response = caller.readAll();
@@ -139,7 +140,7 @@
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (FakeEndpoint endpoint =
                         new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, request.body())));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             caller.request("POST", "/once/", "1", "first").request("POST", "/once/", "2", "second");
             assertThat(caller.readUntil("first")).contains("X-Id: 1");
             assertThat(caller.readUntil("second")).contains("X-Id: 2");
@@ -149,10 +150,10 @@
     @Test
     void aBodyOverTheLimitIsRefusedAndNotForwarded() throws Exception {
         try (FakeEndpoint endpoint = new FakeEndpoint("a", (request, out) -> write(out, whole(request, 200, "ok")));
-                TestCaller caller = bed.knows(TIMEOUT_MILLIS, endpoint).caller()) {
+                TestCaller caller = fixture.configure(TIMEOUT_MILLIS, endpoint).caller()) {
             assertThat(caller.request("POST", "/once/", "7", "x".repeat(10_001)).readUntil("\r\n\r\n"))
                     .startsWith("HTTP/1.1 413");
-            assertThat(endpoint.unseen()).isEqualTo(0);
+            assertThat(endpoint.pendingRequests()).isEqualTo(0);
         }
     }
 
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
@@ -10,8 +10,8 @@
  * @since 0.4.0
  */
 public final class TransferProgress {
-    /** Milliseconds without a byte after which a transfer stands still: three times what the store takes while it is slow. */
-    public static final long STANDSTILL_MILLIS = 800;
+    /** Milliseconds without a byte after which a transfer counts as stalled: three times what the store takes while it is slow. */
+    public static final long STALL_TIMEOUT_MILLIS = 800;
 
     /**
      * Bytes a millisecond below which a transfer is not worth waiting for: under a tenth of the smallest link that is supported
@@ -51,7 +51,7 @@
 
     /** Returns until when it is waited for if nothing more comes, on the same clock in milliseconds. */
     public long deadlineMillis() {
-        long slowest = startMillis + STANDSTILL_MILLIS + bytes / LEAST_BYTES_PER_MILLI;
-        return Math.min(slowest, lastMillis + STANDSTILL_MILLIS);
+        long slowest = startMillis + STALL_TIMEOUT_MILLIS + bytes / LEAST_BYTES_PER_MILLI;
+        return Math.min(slowest, lastMillis + STALL_TIMEOUT_MILLIS);
     }
 }
--- a/radishpass-runtime/src/test/java/org/radishpass/runtime/transfer/TransferProgressTest.java
+++ b/radishpass-runtime/src/test/java/org/radishpass/runtime/transfer/TransferProgressTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void nothingAtAllIsWaitedForOnlySoLong() {
-        assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STANDSTILL_MILLIS);
+        assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STALL_TIMEOUT_MILLIS);
     }
 
     @Test
@@ -31,13 +31,13 @@
     void whatStandsStillIsGivenUpHoweverMuchHasCome() {
         transfer.received(2_000_000, START + 300);
 
-        assertThat(transfer.deadlineMillis()).isEqualTo(START + 300 + TransferProgress.STANDSTILL_MILLIS);
+        assertThat(transfer.deadlineMillis()).isEqualTo(START + 300 + TransferProgress.STALL_TIMEOUT_MILLIS);
     }
 
     @Test
     void aByteASecondIsNotProgress() {
         transfer.received(1, START + 700);
 
-        assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STANDSTILL_MILLIS);
+        assertThat(transfer.deadlineMillis()).isEqualTo(START + TransferProgress.STALL_TIMEOUT_MILLIS);
     }
 }
