--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
@@ -81,10 +81,10 @@
     @Test
     void firstLongPollAfterASlowFullReadEndsWithTheResponsibility() {
         follower.start();
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
         Request fullRead = source.next();
         startResponse(fullRead, DOCUMENT_BYTES);
-        scheduler.pass(Duration.ofMillis(500));
+        scheduler.advance(Duration.ofMillis(500));
         respond(fullRead, 7, "1");
         Request first = source.next();
 
@@ -150,8 +150,8 @@
     void lostHistoryCausesAFullRead() {
         startAndReadFull();
 
-        source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
-        scheduler.pass(ONE_MILLISECOND);
+        source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
+        scheduler.advance(ONE_MILLISECOND);
 
         assertThat(source.next().full).isTrue();
     }
@@ -166,7 +166,7 @@
         Request longPoll = source.next();
 
         follower.storeRestored(Duration.ZERO);
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
 
         assertThat(longPoll.cancelled).isTrue();
         Request fullRead = source.next();
@@ -182,10 +182,10 @@
         source.next();
 
         follower.storeRestored(Duration.ofSeconds(1));
-        scheduler.pass(Duration.ofMillis(999));
+        scheduler.advance(Duration.ofMillis(999));
         assertThat(source.requests).isEmpty();
         readsConfiguration = false;
-        scheduler.pass(Duration.ofSeconds(3));
+        scheduler.advance(Duration.ofSeconds(3));
 
         assertThat(source.requests).isEmpty();
     }
@@ -199,13 +199,13 @@
         while (scheduler.millis() < endMillis) {
             Request request = source.requests.poll();
             if (request == null) {
-                scheduler.pass(ONE_MILLISECOND);
+                scheduler.advance(ONE_MILLISECOND);
             } else if (request.full) {
                 fullReads++;
                 respond(request, 7, "1");
             } else {
-                request.result.tryEmitValue(new ConfigurationReading.HistoryLost());
-                scheduler.pass(ONE_MILLISECOND);
+                request.result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
+                scheduler.advance(ONE_MILLISECOND);
             }
         }
         assertThat(fullReads).isAtMost(7);
@@ -216,8 +216,8 @@
         startAndReadFull();
         Request longPoll = source.next();
         follower.checkForNewer(new StorePosition(2, 1));
-        source.next().result.tryEmitValue(new ConfigurationReading.HistoryLost());
-        scheduler.pass(ONE_MILLISECOND);
+        source.next().result.tryEmitValue(new ConfigurationReadResult.HistoryLost());
+        scheduler.advance(ONE_MILLISECOND);
         assertThat(longPoll.cancelled).isTrue();
         assertThat(source.next().full).isTrue();
     }
@@ -234,7 +234,7 @@
 
     private void startAndReadFull() {
         follower.start();
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
         Request first = source.next();
         assertThat(first.full).isTrue();
         startResponse(first, DOCUMENT_BYTES);
@@ -243,7 +243,7 @@
 
     private void startResponse(Request request, long bytes) {
         request.responseStarted.accept(bytes);
-        scheduler.pass(ONE_MILLISECOND);
+        scheduler.advance(ONE_MILLISECOND);
     }
 
     private void respond(Request request, long revision, String content) {
@@ -252,8 +252,8 @@
 
     private void respond(Request request, StorePosition position, String content) {
         request.result.tryEmitValue(
-                new ConfigurationReading.Published(position, content.getBytes(StandardCharsets.UTF_8)));
-        scheduler.pass(ONE_MILLISECOND);
+                new ConfigurationReadResult.Published(position, content.getBytes(StandardCharsets.UTF_8)));
+        scheduler.advance(ONE_MILLISECOND);
     }
 
     /** A request to the store. */
@@ -261,7 +261,7 @@
         private final boolean full;
         private final StorePosition after;
         private final LongConsumer responseStarted;
-        private final Sinks.One<ConfigurationReading> result = Sinks.one();
+        private final Sinks.One<ConfigurationReadResult> result = Sinks.one();
         private boolean cancelled;
 
         private Request(boolean full, StorePosition after, LongConsumer onResponseStart) {
@@ -270,7 +270,7 @@
             this.responseStarted = onResponseStart;
         }
 
-        private Mono<ConfigurationReading> response() {
+        private Mono<ConfigurationReadResult> response() {
             return result.asMono().doOnCancel(() -> cancelled = true);
         }
     }
@@ -283,35 +283,35 @@
             return requests.remove();
         }
 
-        private Mono<ConfigurationReading> send(boolean full, StorePosition after, LongConsumer onResponseStart) {
+        private Mono<ConfigurationReadResult> send(boolean full, StorePosition after, LongConsumer onResponseStart) {
             Request request = new Request(full, after, onResponseStart);
             requests.add(request);
             return request.response();
         }
 
         @Override
-        public Mono<ConfigurationReading> configuration(LongConsumer onResponseStart) {
+        public Mono<ConfigurationReadResult> configuration(LongConsumer onResponseStart) {
             return send(true, StorePosition.NONE, onResponseStart);
         }
 
         @Override
-        public Mono<ConfigurationReading> configurationAfter(
+        public Mono<ConfigurationReadResult> configurationAfter(
                 StorePosition after, Duration wait, LongConsumer onResponseStart) {
             return send(false, after, onResponseStart);
         }
 
         @Override
-        public Mono<DirectoryReading> directory() {
+        public Mono<DirectoryReadResult> directory() {
             return Mono.never();
         }
 
         @Override
-        public Mono<RegistryReading> register(FleetRouter self) {
+        public Mono<RegistryReadResult> register(FleetRouter self) {
             return Mono.never();
         }
 
         @Override
-        public Mono<RegistryReading> registered() {
+        public Mono<RegistryReadResult> registered() {
             return Mono.never();
         }
 
@@ -321,7 +321,7 @@
         }
 
         @Override
-        public Mono<QuarantineReading> quarantined() {
+        public Mono<QuarantineReadResult> quarantined() {
             return Mono.never();
         }
 
@@ -349,7 +349,7 @@
         }
 
         @Override
-        public void drainsRead(DrainReading reading) {
+        public void drainsRead(DrainReport report) {
             // irrelevant to these tests
         }
 
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/SuspectDistributionTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.radishpass.routing.quarantine.QuarantineStatus;
 import org.radishpass.routing.quarantine.RequestFingerprint;
-import org.radishpass.routing.quarantine.Standing;
 
 /**
  * Checks in virtual time that all routers soon know of a request that crashes its endpoints, including routers that
@@ -32,14 +32,14 @@
         VirtualFleet fleet = started(count);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(count - 1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         routers.get(count / 2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        fleet.advance(DISTRIBUTION_TIME);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
 
         routers.get(0).suspects().answered(REQUEST);
-        fleet.pass(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+        fleet.advance(DISTRIBUTION_TIME);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.CLEAR);
     }
 
     @ParameterizedTest
@@ -48,13 +48,13 @@
         VirtualFleet fleet = started(count);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(RESEND_INTERVAL);
+        fleet.advance(RESEND_INTERVAL);
         routers.get(2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
 
         fleet.restart(count - 1);
-        fleet.pass(Duration.ofSeconds(2));
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        fleet.advance(Duration.ofSeconds(2));
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
     }
 
     /** After all routers have lost power, only the store still has the quarantine. */
@@ -63,31 +63,31 @@
         VirtualFleet fleet = started(9);
         List<VirtualRouter> routers = List.copyOf(fleet.routers());
         routers.get(1).suspects().endedUnder(REQUEST, 1);
-        fleet.pass(RESEND_INTERVAL);
+        fleet.advance(RESEND_INTERVAL);
         routers.get(2).suspects().endedUnder(REQUEST, 2);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
-        fleet.pass(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.QUARANTINED);
+        fleet.advance(DISTRIBUTION_TIME);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.QUARANTINED);
 
         List.copyOf(fleet.routers()).get(4).suspects().answered(REQUEST);
-        fleet.pass(DISTRIBUTION_TIME);
+        fleet.advance(DISTRIBUTION_TIME);
         fleet.restartAll();
-        fleet.pass(DISTRIBUTION_TIME);
-        assertThat(standings(fleet)).containsExactly(Standing.CLEAR);
+        fleet.advance(DISTRIBUTION_TIME);
+        assertThat(statuses(fleet)).containsExactly(QuarantineStatus.CLEAR);
     }
 
     private static VirtualFleet started(int count) {
         VirtualFleet fleet = new VirtualFleet(count, 3, 20, 1_000);
         fleet.publish(1, 2_000);
         fleet.startAll();
-        fleet.pass(WARM_UP);
+        fleet.advance(WARM_UP);
         return fleet;
     }
 
-    private static List<Standing> standings(VirtualFleet fleet) {
+    private static List<QuarantineStatus> statuses(VirtualFleet fleet) {
         return fleet.routers().stream()
-                .map(router -> router.suspects().standing(REQUEST))
+                .map(router -> router.suspects().status(REQUEST))
                 .distinct()
                 .toList();
     }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualFleet.java
@@ -59,7 +59,7 @@
                     6,
                     false));
         }
-        store.list(listed);
+        store.listEndpoints(listed);
     }
 
     /** Starts all routers within a quarter of a second. */
@@ -102,8 +102,8 @@
     }
 
     /** Advances the virtual time. */
-    void pass(Duration time) {
-        scheduler.pass(time);
+    void advance(Duration time) {
+        scheduler.advance(time);
     }
 
     /** Publishes a version of the configuration. */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/transfer/TransferProgress.java
@@ -12,7 +12,7 @@
  */
 public final class TransferProgress {
     /** The time without a byte after which a transfer has stalled: three times the response time of a slow store. */
-    public static final long STANDSTILL_MILLIS = 800;
+    public static final long STALL_TIMEOUT_MILLIS = 800;
 
     /**
      * The minimum rate of a transfer in bytes per millisecond. The rate is less than a tenth of the slowest supported
@@ -52,7 +52,7 @@
 
     /** Returns the time at which the transfer fails if no more bytes arrive, on the same clock in milliseconds. */
     public long deadlineMillis() {
-        long minRateDeadline = startMillis + STANDSTILL_MILLIS + bytes / MIN_BYTES_PER_MILLI;
-        return Math.min(minRateDeadline, lastMillis + STANDSTILL_MILLIS);
+        long minRateDeadline = startMillis + STALL_TIMEOUT_MILLIS + bytes / MIN_BYTES_PER_MILLI;
+        return Math.min(minRateDeadline, lastMillis + STALL_TIMEOUT_MILLIS);
     }
 }
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedExchange.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.radishpass.routing.dialect.PromptShape;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
+import org.radishpass.routing.health.ResponseTimes;
 import org.radishpass.routing.load.QueueLimit;
-import org.radishpass.routing.load.SpareRoom;
+import org.radishpass.routing.load.SpareCapacity;
 import org.radishpass.routing.placement.PlacementChoice;
 import org.radishpass.routing.placement.PlacementQuery;
 
@@ -88,17 +88,17 @@
         long now = timeline.nowMillis();
         String service = requestClass().service();
         List<ServiceEndpoint> candidates =
-                new ArrayList<>(router.healthBook().usable(router.acceptingEndpoints(service), now));
+                new ArrayList<>(router.healthTracker().usable(router.acceptingEndpoints(service), now));
         candidates.removeIf(endpoint -> excludedIds.contains(endpoint.id()));
         if (sends > 0) {
-            candidates = router.healthBook().heardLately(candidates, RETRY_HEARD_WITHIN_MILLIS, now);
+            candidates = router.healthTracker().recentlyActive(candidates, RETRY_HEARD_WITHIN_MILLIS, now);
         }
-        Optional<PromptShape> prompt = request.promptShape();
+        Optional<PromptDescription> prompt = request.promptDescription();
         return router.chooser()
                 .choose(new PlacementQuery(
                         candidates,
                         candidates,
-                        router.healthBook().reachable(router.fleet().endpoints(service), now),
+                        router.healthTracker().reachable(router.fleet().endpoints(service), now),
                         prompt,
                         request.hash(),
                         router.routerCount(),
@@ -106,13 +106,13 @@
     }
 
     private boolean isFull(PlacementChoice choice) {
-        QueueLimit limit = request.promptShape().isPresent() ? QueueLimit.ENGINE : QueueLimit.PLAIN;
+        QueueLimit limit = request.promptDescription().isPresent() ? QueueLimit.ENGINE : QueueLimit.PLAIN;
         return choice.load() >= limit.requests(choice.endpoint().slots());
     }
 
     private boolean takeRetry() {
         return sends - rejections < requestClass().attempts()
-                && requestClass().kind().mayRunAgain()
+                && requestClass().kind().retryableAfterRun()
                 && router.retryBudget().trySpend(requestClass().service(), timeline.nowMillis());
     }
 
@@ -156,9 +156,9 @@
 
         private void connect() {
             long millisSinceHeard =
-                    timeline.nowMillis() - router.health(endpoint).heardAtMillis();
+                    timeline.nowMillis() - router.health(endpoint).bytesReceivedAtMillis();
             if (millisSinceHeard <= REUSE_HEARD_WITHIN_MILLIS
-                    && requestClass().kind().mayRunAgain()
+                    && requestClass().kind().retryableAfterRun()
                     && sends == 0) {
                 send();
             } else {
@@ -173,14 +173,15 @@
             sends++;
             isBackoffTest = router.backoffs().sent(endpoint.id());
             sentAtMillis = timeline.exactNowMillis();
-            request.promptShape().ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.nowMillis()));
+            request.promptDescription()
+                    .ifPresent(prompt -> router.chooser().sent(prompt, endpoint, timeline.nowMillis()));
             timeline.schedule(SimulatedRouter.NETWORK_DELAY_MILLIS, this::arriveAtEndpoint);
             timeline.schedule(CONNECTION_CHECK_MILLIS, this::checkConnection);
             String name = requestClass().name();
-            scheduleIfKnown(router.patience().millis(name), this::markOverdue);
+            scheduleIfKnown(router.responseTimes().slowThresholdMillis(name), this::markOverdue);
             scheduleIfKnown(
-                    router.patience()
-                            .secondTryMillis(name, Math.round(requestClass().latencyTargetMillis())),
+                    router.responseTimes()
+                            .secondAttemptMillis(name, Math.round(requestClass().latencyTargetMillis())),
                     this::trySecondEndpoint);
         }
 
@@ -191,7 +192,7 @@
         }
 
         private void scheduleIfKnown(long millis, Runnable task) {
-            if (millis != AnswerPatience.UNKNOWN) {
+            if (millis != ResponseTimes.UNKNOWN) {
                 timeline.schedule((double) millis, task);
             }
         }
@@ -200,7 +201,7 @@
             if (!answerStarted && !ended) {
                 overdue = true;
                 if (router.applies(Policy.SLOW_LEFT_OUT) && othersHaveRoom()) {
-                    router.health(endpoint).answeredSlowly(timeline.nowMillis());
+                    router.health(endpoint).respondedSlowly(timeline.nowMillis());
                 }
             }
         }
@@ -209,7 +210,7 @@
             if (answerStarted
                     || ended
                     || !router.applies(Policy.SECOND_TRIES)
-                    || !requestClass().kind().mayRunAgain()) {
+                    || !requestClass().kind().retryableAfterRun()) {
                 return;
             }
             if (!othersHaveRoom()) {
@@ -229,9 +230,11 @@
             long now = timeline.nowMillis();
             List<ServiceEndpoint> accepting =
                     router.acceptingEndpoints(requestClass().service());
-            List<ServiceEndpoint> others = new ArrayList<>(router.healthBook().usable(accepting, now));
+            List<ServiceEndpoint> others =
+                    new ArrayList<>(router.healthTracker().usable(accepting, now));
             others.removeIf(other -> other.id().equals(endpoint.id()));
-            return !router.healthBook().doubtful(accepting, now) && SpareRoom.at(others, router.workInFlight());
+            return !router.healthTracker().mostlyUnhealthy(accepting, now)
+                    && SpareCapacity.existsAt(others, router.workInFlight());
         }
 
         private void checkConnection() {
@@ -289,10 +292,10 @@
             }
             answerStarted = true;
             reportBackoffTest(true);
-            router.health(endpoint).heard(timeline.nowMillis());
-            router.patience().note(requestClass().name(), timeline.exactNowMillis() - sentAtMillis);
+            router.health(endpoint).bytesReceived(timeline.nowMillis());
+            router.responseTimes().record(requestClass().name(), timeline.exactNowMillis() - sentAtMillis);
             if (!overdue) {
-                router.health(endpoint).answeredInTime();
+                router.health(endpoint).respondedInTime();
             }
             firstByteMillis = timeline.exactNowMillis() - startedAtMillis;
         }
@@ -302,7 +305,7 @@
             if (ended) {
                 return;
             }
-            router.health(endpoint).heard(timeline.nowMillis());
+            router.health(endpoint).bytesReceived(timeline.nowMillis());
             finish();
             completed = true;
             report.answered(requestClass(), startedAtMillis, firstByteMillis);
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRequest.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 import org.radishpass.core.placement.Rendezvous;
+import org.radishpass.routing.dialect.PromptDescription;
 import org.radishpass.routing.dialect.PromptPart;
-import org.radishpass.routing.dialect.PromptShape;
 
 /**
  * A request as its caller sends it, with the work that it causes.
@@ -20,8 +20,8 @@
 record SimulatedRequest(RequestClass requestClass, long number, int subject, int outputTokens, double workMillis) {
     private static final String MODEL = "m";
 
-    /** Returns the shape of the prompt, or empty for a request to a plain service. */
-    Optional<PromptShape> promptShape() {
+    /** Returns the description of the prompt, or empty for a request to a plain service. */
+    Optional<PromptDescription> promptDescription() {
         if (requestClass.outputTokens() == 0) {
             return Optional.empty();
         }
@@ -30,7 +30,7 @@
                 new PromptPart(requestClass.name() + "/" + subject, requestClass.subjectTokens()),
                 new PromptPart("own " + number, requestClass.ownTokens()));
         int promptTokens = parts.stream().mapToInt(PromptPart::tokens).sum();
-        return Optional.of(new PromptShape(MODEL, promptTokens, outputTokens, parts));
+        return Optional.of(new PromptDescription(MODEL, promptTokens, outputTokens, parts));
     }
 
     /** Returns a hash of this request whose bits are evenly distributed. */
@@ -41,7 +41,7 @@
     /** Creates a run of this request for one endpoint. */
     Run run(@Nullable SimulatedEngine cacheHolder, Run.Listener listener) {
         List<Run.CachedPart> parts = new ArrayList<>();
-        promptShape().ifPresent(shape -> {
+        promptDescription().ifPresent(shape -> {
             for (int index = 0; index < shape.parts().size(); index++) {
                 boolean shared = index < shape.sharedParts();
                 parts.add(new Run.CachedPart(
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulatedRouter.java
@@ -7,11 +7,11 @@
 import org.radishpass.core.placement.Rendezvous;
 import org.radishpass.peer.message.WorkScope;
 import org.radishpass.routing.fleet.ServiceEndpoint;
-import org.radishpass.routing.health.AnswerPatience;
 import org.radishpass.routing.health.EndpointBackoffs;
 import org.radishpass.routing.health.EndpointHealth;
-import org.radishpass.routing.health.HealthBook;
-import org.radishpass.routing.load.InFlightBook;
+import org.radishpass.routing.health.EndpointHealthTracker;
+import org.radishpass.routing.health.ResponseTimes;
+import org.radishpass.routing.load.InFlightTracker;
 import org.radishpass.routing.placement.EndpointChooser;
 import org.radishpass.routing.retry.RetryAllowance;
 import org.radishpass.routing.retry.SharedRetryBudget;
@@ -46,10 +46,10 @@
     private final Set<Policy> policies;
     private final String id;
     private final int routerCount;
-    private final InFlightBook workInFlight = new InFlightBook();
-    private final HealthBook health = new HealthBook();
+    private final InFlightTracker workInFlight = new InFlightTracker();
+    private final EndpointHealthTracker health = new EndpointHealthTracker();
     private final EndpointBackoffs backoffs = new EndpointBackoffs();
-    private final AnswerPatience patience = new AnswerPatience();
+    private final ResponseTimes responseTimes = new ResponseTimes();
     private final EndpointChooser chooser;
     private final SharedRetryBudget retryBudget;
     private final List<SimulatedRouter> peers = new ArrayList<>();
@@ -84,8 +84,8 @@
         var failing = health.failingInGroup(now);
         for (SimulatedRouter peer : peers) {
             timeline.schedule(NETWORK_DELAY_MILLIS, () -> {
-                peer.workInFlight.peerTold(id, WorkScope.GROUP, ownWork, timeline.nowMillis());
-                peer.health.saidToFail(failing, WorkScope.GROUP, timeline.nowMillis());
+                peer.workInFlight.recordPeerReport(id, WorkScope.GROUP, ownWork, timeline.nowMillis());
+                peer.health.recordReportedFailing(failing, WorkScope.GROUP, timeline.nowMillis());
             });
         }
         timeline.schedule(PEER_MESSAGE_INTERVAL_MILLIS, this::sendPeerMessages);
@@ -94,7 +94,7 @@
     private void probeEndpoints() {
         for (ServiceEndpoint endpoint : fleet.endpoints()) {
             EndpointHealth endpointHealth = health(endpoint);
-            if (endpointHealth.takeProbe(timeline.nowMillis())) {
+            if (endpointHealth.tryBeginProbe(timeline.nowMillis())) {
                 connect(
                         endpoint,
                         () -> endpointHealth.connected(timeline.nowMillis()),
@@ -154,16 +154,16 @@
         return health.of(endpoint.id(), timeline.nowMillis());
     }
 
-    HealthBook healthBook() {
+    EndpointHealthTracker healthTracker() {
         return health;
     }
 
-    InFlightBook workInFlight() {
+    InFlightTracker workInFlight() {
         return workInFlight;
     }
 
-    AnswerPatience patience() {
-        return patience;
+    ResponseTimes responseTimes() {
+        return responseTimes;
     }
 
     EndpointChooser chooser() {
