--- a/radishpass-cli/src/main/java/org/radishpass/cli/CliMain.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/CliMain.java
@@ -25,7 +25,7 @@
     public static void main(String... arguments) {
         new Program<>(
                         "radishpass",
-                        "writes and shows the configuration records of a fleet, and explains how requests were handled",
+                        "writes and shows the records of a fleet, and explains what it did",
                         new CliSettings(),
                         CliMain::run)
                 .runAndExit(arguments);
--- a/radishpass-cli/src/main/java/org/radishpass/cli/CliSettings.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/CliSettings.java
@@ -27,23 +27,16 @@
             usage = "apply, get, delete, diff, validate, history, status, explain or losses")
     private @Nullable String command;
 
-    @Argument(
-            index = 1,
-            metaVar = "WORD",
-            multiValued = true,
-            usage = "operands of the command, such as a kind and a name")
+    @Argument(index = 1, metaVar = "WORD", multiValued = true, usage = "what the command is about")
     private List<String> operands = new ArrayList<>();
 
     @Option(name = "--file", aliases = "-f", metaVar = "FILE", usage = "file or directory of records; may be repeated")
     private List<Path> files = new ArrayList<>();
 
-    @Option(name = "--platform", metaVar = "URL", usage = "address of the platform, http://IP:PORT")
+    @Option(name = "--platform", metaVar = "URL", usage = "platform's address, http://IP:PORT")
     private @Nullable String platform;
 
-    @Option(
-            name = "--server",
-            metaVar = "URL",
-            usage = "address of a router or controller to query, http://IP:PORT; may be repeated")
+    @Option(name = "--server", metaVar = "URL", usage = "router or controller to ask, http://IP:PORT; may be repeated")
     private List<String> servers = new ArrayList<>();
 
     @Option(name = "--logs", metaVar = "FILE", usage = "log of a router, for explain and losses; may be repeated")
@@ -52,16 +45,16 @@
     @Option(
             name = "--revision",
             metaVar = "N",
-            usage = "revision that the change is based on; the write is rejected if there is a newer one")
+            usage = "revision that you saw; the write is refused if there is a newer")
     private String revision = NO_REVISION;
 
-    @Option(name = "--author", metaVar = "NAME", usage = "name of the author, recorded in the history")
+    @Option(name = "--author", metaVar = "NAME", usage = "who writes, for the history")
     private String author = "operator";
 
-    @Option(name = "--api-version", metaVar = "V", usage = "schema version in which records are shown")
+    @Option(name = "--api-version", metaVar = "V", usage = "schema version to show records under")
     private String apiVersion = SchemaVersion.V2.wireName();
 
-    @Option(name = "--json", usage = "print JSON instead of text")
+    @Option(name = "--json", usage = "print JSON for programs")
     private boolean json;
 
     @Override
--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
@@ -109,7 +109,7 @@
         if (result instanceof WriteResult.Accepted accepted) {
             accepted.changes().forEach(change -> reporter.line(describe(change)));
             reporter.line(
-                    "revision " + accepted.revision() + (accepted.changes().isEmpty() ? ", no changes" : ""));
+                    "revision " + accepted.revision() + (accepted.changes().isEmpty() ? ", nothing to change" : ""));
             return ExitCode.OK;
         }
         if (result instanceof WriteResult.Conflict conflict) {
@@ -176,7 +176,7 @@
                 reporter.line("+ " + after);
             }
         }
-        reporter.line("compared with revision " + configuration.revision());
+        reporter.line("against revision " + configuration.revision());
         return ExitCode.OK;
     }
 
@@ -186,7 +186,7 @@
         if (!read.faults().isEmpty()) {
             return ExitCode.USAGE;
         }
-        reporter.line(read.documents().size() + " records are valid");
+        reporter.line(read.documents().size() + " records are good");
         return ExitCode.OK;
     }
 
--- a/radishpass-controller/src/main/java/org/radishpass/controller/ControllerMain.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/ControllerMain.java
@@ -23,7 +23,7 @@
     public static void main(String... arguments) {
         new Program<>(
                         "radishpass-controller",
-                        "reconciles the endpoints of a data centre with the configuration records",
+                        "brings the endpoints of a data centre to what the records say",
                         new ControllerSettings(),
                         ControllerMain::run)
                 .runAndExit(arguments);
--- a/radishpass-controller/src/main/java/org/radishpass/controller/ControllerSettings.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/ControllerSettings.java
@@ -14,10 +14,7 @@
     private static final int MIN_ROUND_MILLIS = 50;
     private static final int MAX_ROUND_MILLIS = 60_000;
 
-    @Option(
-            name = "--round-millis",
-            metaVar = "MS",
-            usage = "interval between two rounds of comparing engines with records and sending orders")
+    @Option(name = "--round-millis", metaVar = "MS", usage = "pause between two rounds of comparing and ordering")
     private int roundMillis = 1_000;
 
     @Override
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/CommonSettings.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/CommonSettings.java
@@ -8,10 +8,10 @@
  * @since 0.1.0
  */
 public abstract class CommonSettings implements Settings {
-    @Option(name = "--help", aliases = "-h", help = true, usage = "print this help and exit")
+    @Option(name = "--help", aliases = "-h", help = true, usage = "print this and end")
     private boolean help;
 
-    @Option(name = "--version", help = true, usage = "print the version and exit")
+    @Option(name = "--version", help = true, usage = "print the version and end")
     private boolean version;
 
     /** Tells whether the flag for help was given. */
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/Program.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/Program.java
@@ -50,8 +50,7 @@
         if (settings.help()) {
             out.println(name + ": " + summary);
             out.println();
-            out.println(
-                    "Each flag --some-flag can be set by the environment variable RADISHPASS_SOME_FLAG; the flag takes precedence.");
+            out.println("Each flag --some-flag has an environment twin RADISHPASS_SOME_FLAG; the flag wins.");
             out.println();
             out.print(parser.usage());
             return ExitCode.OK;
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/VmSettings.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/settings/VmSettings.java
@@ -17,16 +17,16 @@
     @Option(name = "--id", metaVar = "ID", usage = "identity of this VM in the platform's VM list")
     private @Nullable String id;
 
-    @Option(name = "--data-centre", metaVar = "NAME", usage = "data centre of this VM")
+    @Option(name = "--data-centre", metaVar = "NAME", usage = "data centre that this VM stands in")
     private @Nullable String dataCentre;
 
     @Option(name = "--listen", metaVar = "IP", usage = "IP literal to listen on")
     private String listen = "127.0.0.1";
 
-    @Option(name = "--port", metaVar = "PORT", usage = "port for callers and operators; 0 selects a free port")
+    @Option(name = "--port", metaVar = "PORT", usage = "port for callers and operators; 0 lets the system choose")
     private int port;
 
-    @Option(name = "--platform", metaVar = "URL", usage = "base URL of the platform, http://IP:PORT")
+    @Option(name = "--platform", metaVar = "URL", usage = "platform's address, http://IP:PORT")
     private @Nullable String platform;
 
     @Option(name = "--ports-file", metaVar = "FILE", usage = "file to write the chosen ports to")
