--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
@@ -155,8 +155,8 @@
      *
      * @param suspects the requests
      * @param cleared requests that were reported earlier and have been answered since
-     * @param scope the stage of propagation: from a member to its leader, between leaders, or from a leader to its
-     *     members
+     * @param scope the stage of propagation: from a member to its gatherer, between gatherers, or from a gatherer to
+     *     its members
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
@@ -45,7 +45,7 @@
         }
         if (leftMillis < 0) {
             finished = true;
-            result.tryEmitError(new IOException("given up after " + progress.bytes() + " bytes"));
+            result.tryEmitError(new IOException("the transfer stalled after " + progress.bytes() + " bytes"));
             return;
         }
         scheduler.schedule(this::watch, leftMillis + 1, TimeUnit.MILLISECONDS);
