--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
@@ -28,7 +28,7 @@
     private final ConfigurationTracker configuration;
     private final DirectoryTracker directory;
     private final StoreClock storeClock;
-    private final UnusableEntries unusable;
+    private final UnusableEntries unusableEntries;
     private final StoreReadMonitor readMonitor;
     private final Listener listener;
     private final ConfigurationFollower configurationFollower;
@@ -39,7 +39,7 @@
             MonotonicClock clock,
             ControlSource source,
             ControlState state,
-            UnusableEntries unusable,
+            UnusableEntries unusableEntries,
             StoreReadMonitor readMonitor,
             Listener listener) {
         this.thread = thread;
@@ -47,7 +47,7 @@
         this.configuration = state.configuration();
         this.directory = state.directory();
         this.storeClock = state.storeClock();
-        this.unusable = unusable;
+        this.unusableEntries = unusableEntries;
         this.readMonitor = readMonitor;
         this.listener = listener;
         this.configurationFollower = new ConfigurationFollower(thread, clock, source, new ConfigurationListener());
@@ -116,7 +116,7 @@
                     kv("position", listed.position().toString()),
                     kv("settled", directory.listVersion().settled()));
         }
-        unusable.read(listed.unusable());
+        unusableEntries.read(listed.unusable());
         listener.directoryRead();
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/EndpointSignals.java
@@ -17,7 +17,7 @@
  */
 final class EndpointSignals {
     private final MonotonicClock clock;
-    private final RequestLog log;
+    private final RequestLog requestLog;
     private final EndpointListener listener;
     private final LeavingEndpoints leaving = new LeavingEndpoints();
     private final EndpointBackoffs backoffs = new EndpointBackoffs();
@@ -28,11 +28,11 @@
     EndpointSignals(
             MonotonicClock clock,
             Supplier<EndpointDirectory> directory,
-            RequestLog log,
+            RequestLog requestLog,
             EndpointListener listener,
             MeterRegistry metrics) {
         this.clock = clock;
-        this.log = log;
+        this.requestLog = requestLog;
         this.listener = listener;
         this.rejections = Counter.builder("radishpass.endpoint.rejections")
                 .description("requests that endpoints rejected with Retry-After")
@@ -75,7 +75,7 @@
     void headReceived(ServiceEndpoint endpoint, ResponseHead head) {
         long nowMillis = clock.millis();
         if (head.leaving() && leaving.note(endpoint.id(), nowMillis)) {
-            log.endpointLeaving(endpoint);
+            requestLog.endpointLeaving(endpoint);
             listener.endpointLeaving(endpoint);
         }
         head.backoffMillis().ifPresent(millis -> rejected(endpoint, millis, nowMillis));
@@ -84,7 +84,7 @@
     private void rejected(ServiceEndpoint endpoint, long backoffMillis, long nowMillis) {
         rejections.increment();
         if (backoffs.rejected(endpoint.id(), backoffMillis, nowMillis)) {
-            log.endpointBackoff(endpoint, backoffMillis);
+            requestLog.endpointBackoff(endpoint, backoffMillis);
         }
     }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/QuarantineGuard.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/QuarantineGuard.java
@@ -17,14 +17,14 @@
     private static final int MAX_FAILED_RESPONSES = 2;
 
     private final TrafficContext context;
-    private final RequestFingerprint request;
+    private final RequestFingerprint fingerprint;
     private final String service;
     private final QuarantineStatus statusOnArrival;
     private final List<String> failedAt = new ArrayList<>(1);
 
-    QuarantineGuard(TrafficContext context, RequestFingerprint request, String service) {
+    QuarantineGuard(TrafficContext context, RequestFingerprint fingerprint, String service) {
         this.context = context;
-        this.request = request;
+        this.fingerprint = fingerprint;
         this.service = service;
         this.statusOnArrival = status();
     }
@@ -47,7 +47,7 @@
 
     /** Records that the request is being sent. */
     void sent() {
-        context.quarantine().sent(request, context.nowMillis());
+        context.quarantine().sent(fingerprint, context.nowMillis());
     }
 
     /** Records that the response failed at the endpoint. */
@@ -57,10 +57,10 @@
 
     /** Records that the request was answered and its endpoint is alive, which shows that the request is harmless. */
     void responseCompleted() {
-        context.quarantine().answered(request, service, context.nowMillis());
+        context.quarantine().answered(fingerprint, service, context.nowMillis());
     }
 
     private QuarantineStatus status() {
-        return context.quarantine().status(request, service, context.nowMillis());
+        return context.quarantine().status(fingerprint, service, context.nowMillis());
     }
 }
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/ConfigurationFollowerTest.java
@@ -192,7 +192,7 @@
 
     /** Guards against a burst of 77 full reads within a second by one router. */
     @Test
-    void repeatedlyLostHistoryIsReadWithPauses() {
+    void repeatedlyLostHistoryIsReadWithDelays() {
         startAndReadFull();
         int fullReads = 0;
         long endMillis = scheduler.millis() + 2_000;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/DirectoryFleet.java
@@ -110,12 +110,12 @@
         private final StoreClock storeClock = new StoreClock();
         private final PeerTable peers;
         private final StoreEra storeEra = new StoreEra();
-        private final ReaderElection readers;
+        private final ReaderElection readerElection;
 
         private Router(Address address) {
             this.router = FleetRouter.unlocated(address);
             this.peers = new PeerTable(router);
-            this.readers = new ReaderElection(() -> nowMillis, router, peers, tracker, storeClock);
+            this.readerElection = new ReaderElection(() -> nowMillis, router, peers, tracker, storeClock);
         }
 
         /** Reads the store successfully. */
@@ -182,7 +182,7 @@
 
         /** Tells whether the router considers itself responsible for reading the store. */
         boolean mustReadStore() {
-            return readers.storeReadScope(true).readsDirectory();
+            return readerElection.storeReadScope(true).readsDirectory();
         }
 
         /** Returns the ids of the incarnations that may receive requests. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/health/EndpointHealthTrackerTest.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/health/EndpointHealthTrackerTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void theHealthOfAServiceIsDoubtfulIfMostEndpointsFail() {
+    void aServiceIsMostlyUnhealthyIfMostEndpointsFail() {
         assertThat(tracker.mostlyUnhealthy(open, 0)).isFalse();
         for (String id : List.of("e0", "e1")) {
             fail(id, 4);
