--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
@@ -330,7 +330,7 @@
         @Override
         public void endpointsLeaving(List<String> endpointIds, String origin) {
             endpointIds.forEach(id -> LOG.info(
-                    "endpoint {} is leaving, as it stated in an answer to another router",
+                    "endpoint {} is leaving, as it stated in a response to another router",
                     id,
                     LogEvent.ENDPOINT_LEAVING.field(),
                     kv("source", origin)));
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadMonitor.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreReadMonitor.java
@@ -20,7 +20,7 @@
     private final MeterRegistry metrics;
     private final StoreEra era;
     private volatile long latestEra;
-    private String listSourceObserved = "";
+    private String listSource = "";
     private int ignoredReads;
 
     StoreReadMonitor(MeterRegistry metrics, StoreEra era) {
@@ -98,16 +98,16 @@
 
     /** Records on which router's reads the endpoint list is currently based, and logs a change. */
     void listSourceObserved(String current, EndpointListVersion version) {
-        if (!Objects.equals(listSourceObserved, current)) {
+        if (!Objects.equals(listSource, current)) {
             LOG.info(
                     "the endpoint list is now read by {}, before by {}",
                     current,
-                    listSourceObserved,
+                    listSource,
                     LogEvent.LIST_SOURCE.field(),
                     kv("source", current),
                     kv("position", version.position().toString()),
                     kv("settled", version.settled()));
-            listSourceObserved = current;
+            listSource = current;
         }
     }
 }
