--- a/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
+++ b/radishpass-cli/src/main/java/org/radishpass/cli/internal/Commands.java
@@ -192,8 +192,8 @@
 
     private ExitCode history() {
         ConfigurationStore store = new ConfigurationStore(tables);
-        long head = store.head().blockOptional(STORE_TIMEOUT).orElse(0L);
-        List<ConfigurationChange> changes = store.newest(head, MAX_SHOWN_CHANGES)
+        long head = store.headRevision().blockOptional(STORE_TIMEOUT).orElse(0L);
+        List<ConfigurationChange> changes = store.newestChanges(head, MAX_SHOWN_CHANGES)
                 .blockOptional(STORE_TIMEOUT)
                 .orElse(List.of());
         changes.forEach(change -> reporter.line(describe(change)));
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ControllerLoop.java
@@ -69,7 +69,7 @@
     /** Runs the first round and schedules the following ones. */
     public void start() {
         control.run(this::runRound);
-        control.every(Duration.ofMillis(settings.roundMillis()), this::runRound);
+        control.schedulePeriodically(Duration.ofMillis(settings.roundMillis()), this::runRound);
     }
 
     /** Returns the held shares and the engines that diverge from the configuration records, for the status response. */
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineClient.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineClient.java
@@ -38,7 +38,7 @@
 
     /** Sends an order if {@code maySend} still holds immediately before the write, and otherwise returns an error. */
     Mono<Integer> sendOrder(VmListing engine, Order order, long epoch, long revision, BooleanSupplier maySend) {
-        byte[] body = HttpJson.bytes(
+        byte[] body = HttpJson.serialize(
                 Map.of("type", order.type().wireName(), "pool", order.pool(), "epoch", epoch, "revision", revision));
         return client.post()
                 .uri("http://" + engine.address() + "/v1/orders")
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineReconciler.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/EngineReconciler.java
@@ -14,7 +14,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.radishpass.core.converge.CapacityPlan;
-import org.radishpass.core.converge.EndpointGoal;
+import org.radishpass.core.converge.DesiredEndpointState;
 import org.radishpass.core.converge.Order;
 import org.radishpass.core.converge.OrderPlan;
 import org.radishpass.core.fleet.DataCentre;
@@ -71,15 +71,15 @@
         if (configuration.revision() == 0 || ownEngines.isEmpty()) {
             return;
         }
-        Map<String, EndpointGoal> goals = CapacityPlan.of(
+        Map<String, DesiredEndpointState> desiredStates = CapacityPlan.of(
                 demands(configuration), ownEngines.stream().map(VmListing::id).toList());
-        divergences.keySet().retainAll(goals.keySet());
+        divergences.keySet().retainAll(desiredStates.keySet());
         for (VmListing engine : ownEngines) {
-            EndpointGoal goal = goals.get(engine.id());
-            if (goal != null
+            DesiredEndpointState desired = desiredStates.get(engine.id());
+            if (desired != null
                     && leases.epochFor(engine.id()).isPresent()
                     && !enginesWithPendingCall.contains(engine.id())) {
-                checkEngine(configuration, engine, goal);
+                checkEngine(configuration, engine, desired);
             }
         }
     }
@@ -97,19 +97,20 @@
         return List.copyOf(history);
     }
 
-    private void checkEngine(Configuration configuration, VmListing engine, EndpointGoal goal) {
+    private void checkEngine(Configuration configuration, VmListing engine, DesiredEndpointState desired) {
         enginesWithPendingCall.add(engine.id());
         engines.status(engine)
                 .publishOn(control.scheduler())
-                .subscribe(status -> sendNextOrder(configuration, engine, goal, status), error -> {
+                .subscribe(status -> sendNextOrder(configuration, engine, desired, status), error -> {
                     enginesWithPendingCall.remove(engine.id());
                     divergences.put(
                             engine.id(), new Divergence("it does not answer: " + error.getMessage(), "asking again"));
                 });
     }
 
-    private void sendNextOrder(Configuration configuration, VmListing engine, EndpointGoal goal, EngineStatus status) {
-        var nextOrder = OrderPlan.next(goal, status.state(), status.pools(), status.running());
+    private void sendNextOrder(
+            Configuration configuration, VmListing engine, DesiredEndpointState desired, EngineStatus status) {
+        var nextOrder = OrderPlan.next(desired, status.state(), status.pools(), status.running());
         OptionalLong epoch = leases.epochFor(engine.id());
         if (nextOrder.isEmpty() || epoch.isEmpty()) {
             enginesWithPendingCall.remove(engine.id());
--- a/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
+++ b/radishpass-controller/src/main/java/org/radishpass/controller/internal/ShareLeases.java
@@ -75,7 +75,7 @@
     /** Returns the epoch to send with an order to an endpoint, or nothing if no order may be sent now. */
     OptionalLong epochFor(String endpointId) {
         HeldLease lease = heldLeases.get(shareOf(endpointId));
-        if (lease == null || !rules.mayOrder(lease.requestedAtNanos(), nanoTime.getAsLong())) {
+        if (lease == null || !rules.maySendOrder(lease.requestedAtNanos(), nanoTime.getAsLong())) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(lease.epoch());
--- a/radishpass-controller/src/test/java/org/radishpass/controller/internal/ShareLeasesTest.java
+++ b/radishpass-controller/src/test/java/org/radishpass/controller/internal/ShareLeasesTest.java
@@ -73,7 +73,7 @@
     @Test
     void noOrdersAfterTheLeaseExpiresDuringAStoreOutage() {
         first.runRound().block();
-        tables.out(true);
+        tables.setOutage(true);
         clock.advance(Duration.ofSeconds(8));
         first.runRound().block();
         assertThat(first.epochFor(ENGINE)).hasValue(1);
@@ -88,7 +88,7 @@
     void renewalWithLostReplyDoesNotExtendTheLease() {
         first.runRound().block();
         clock.advance(Duration.ofSeconds(8));
-        tables.nextWrites(Fault.ANSWER_LOST);
+        tables.setFaultsOfNextWrites(Fault.ANSWER_LOST);
         first.runRound().block();
         clock.advance(Duration.ofSeconds(1));
         assertThat(first.epochFor(ENGINE)).isEmpty();
--- a/radishpass-core/src/main/java/org/radishpass/core/admission/PriorityClass.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/admission/PriorityClass.java
@@ -18,12 +18,12 @@
     BATCH(2, Duration.ofMinutes(10), 0.5);
 
     private final int enginePriority;
-    private final Duration patience;
+    private final Duration defaultTimeout;
     private final double maxSlotShare;
 
-    PriorityClass(int enginePriority, Duration patience, double maxSlotShare) {
+    PriorityClass(int enginePriority, Duration defaultTimeout, double maxSlotShare) {
         this.enginePriority = enginePriority;
-        this.patience = patience;
+        this.defaultTimeout = defaultTimeout;
         this.maxSlotShare = maxSlotShare;
     }
 
@@ -33,8 +33,8 @@
     }
 
     /** Returns how long a caller is assumed to wait if its request sets no deadline. */
-    public Duration patience() {
-        return patience;
+    public Duration defaultTimeout() {
+        return defaultTimeout;
     }
 
     /**
--- a/radishpass-core/src/main/java/org/radishpass/core/admission/WorkspaceGate.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/admission/WorkspaceLimiter.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1.0
  */
-public final class WorkspaceGate {
+public final class WorkspaceLimiter {
     private static final double HEADROOM_FACTOR = 1.5;
 
     private final ConcurrentHashMap<String, AtomicInteger> inProgress = new ConcurrentHashMap<>();
@@ -25,9 +25,9 @@
      * @param workspace the workspace that sent the request
      * @param fleetLimit the maximum number of requests that the workspace may have in progress in the whole fleet
      * @param routers the number of routers
-     * @return whether the request was admitted; if so, {@link #leave} must be called exactly once when the request ends
+     * @return whether the request was admitted; if so, {@link #release} must be called exactly once when the request ends
      */
-    public boolean tryEnter(String workspace, int fleetLimit, int routers) {
+    public boolean tryAcquire(String workspace, int fleetLimit, int routers) {
         int limit = routerLimit(fleetLimit, routers);
         AtomicInteger count = inProgress.computeIfAbsent(workspace, name -> new AtomicInteger());
         int before = count.getAndUpdate(value -> value < limit ? value + 1 : value);
@@ -39,7 +39,7 @@
      *
      * @param workspace the workspace that sent the request
      */
-    public void leave(String workspace) {
+    public void release(String workspace) {
         AtomicInteger count = inProgress.get(workspace);
         if (count != null) {
             count.decrementAndGet();
--- a/radishpass-core/src/main/java/org/radishpass/core/cache/PromptBlocks.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/cache/PromptBlocks.java
@@ -27,7 +27,7 @@
      *
      * @param text the text of the prompt
      */
-    public static List<Long> chain(String text) {
+    public static List<Long> prefixHashes(String text) {
         List<Long> hashes = new ArrayList<>();
         long hash = 1;
         int words = 0;
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/CapacityPlan.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/CapacityPlan.java
@@ -23,25 +23,26 @@
     }
 
     /**
-     * Returns the desired state of each engine, by the engine's identity.
+     * Returns the desired state of each engine, by the engine's id.
      *
      * @param demands the capacity declared for each model
-     * @param engines the identities of the available engines
+     * @param engines the ids of the available engines
      */
-    public static Map<String, EndpointGoal> of(Collection<Demand> demands, Collection<String> engines) {
+    public static Map<String, DesiredEndpointState> of(Collection<Demand> demands, Collection<String> engines) {
         List<String> free = new ArrayList<>(engines);
-        Map<String, EndpointGoal> goals = new HashMap<>();
+        Map<String, DesiredEndpointState> desiredStates = new HashMap<>();
         List<Demand> ordered =
                 demands.stream().sorted(Comparator.comparing(Demand::model)).toList();
         for (Demand demand : ordered) {
             takeHighestScored(free, demand.model(), demand.ready())
-                    .forEach(id -> goals.put(id, new EndpointGoal(true, demand.pools())));
+                    .forEach(id -> desiredStates.put(id, new DesiredEndpointState(true, demand.pools())));
         }
         for (Demand demand : ordered) {
-            takeHighestScored(free, demand.model(), demand.asleep()).forEach(id -> goals.put(id, EndpointGoal.ASLEEP));
+            takeHighestScored(free, demand.model(), demand.asleep())
+                    .forEach(id -> desiredStates.put(id, DesiredEndpointState.ASLEEP));
         }
-        free.forEach(id -> goals.put(id, EndpointGoal.IDLE));
-        return goals;
+        free.forEach(id -> desiredStates.put(id, DesiredEndpointState.IDLE));
+        return desiredStates;
     }
 
     private static List<String> takeHighestScored(List<String> free, String model, int count) {
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/EndpointGoal.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/DesiredEndpointState.java
@@ -9,15 +9,15 @@
  * @param pools the pools that the engine is to serve, in the order in which they are to be loaded
  * @since 0.1.0
  */
-public record EndpointGoal(boolean awake, List<String> pools) {
+public record DesiredEndpointState(boolean awake, List<String> pools) {
     /** The state of an engine that is awake and has no model loaded. */
-    public static final EndpointGoal IDLE = new EndpointGoal(true, List.of());
+    public static final DesiredEndpointState IDLE = new DesiredEndpointState(true, List.of());
 
     /** The state of a sleeping engine. */
-    public static final EndpointGoal ASLEEP = new EndpointGoal(false, List.of());
+    public static final DesiredEndpointState ASLEEP = new DesiredEndpointState(false, List.of());
 
     /** Makes a copy of the list of pools. */
-    public EndpointGoal {
+    public DesiredEndpointState {
         pools = List.copyOf(pools);
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/converge/OrderPlan.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/converge/OrderPlan.java
@@ -20,26 +20,27 @@
     /**
      * Returns the next order, or empty if the endpoint needs none now.
      *
-     * @param goal the desired state of the endpoint
+     * @param desired the desired state of the endpoint
      * @param state the current lifecycle state of the endpoint
      * @param pools the pools that the endpoint serves now
      * @param running the number of requests in progress at the endpoint
      */
-    public static Optional<Order> next(EndpointGoal goal, EndpointState state, Set<String> pools, int running) {
+    public static Optional<Order> next(
+            DesiredEndpointState desired, EndpointState state, Set<String> pools, int running) {
         if (state == EndpointState.LEAVING || state == EndpointState.SUSPECT) {
             return Optional.empty();
         }
-        if (!goal.awake()) {
+        if (!desired.awake()) {
             return nextTowardsSleep(state, pools, running);
         }
         if (state == EndpointState.ASLEEP) {
             return Optional.of(Order.of(OrderType.WAKE));
         }
-        Optional<Order> load = goal.pools().stream()
+        Optional<Order> load = desired.pools().stream()
                 .filter(pool -> !pools.contains(pool))
                 .findFirst()
                 .map(pool -> new Order(OrderType.LOAD, pool));
-        return load.isPresent() ? load : unloadSurplusPool(goal, pools);
+        return load.isPresent() ? load : unloadSurplusPool(desired, pools);
     }
 
     private static Optional<Order> nextTowardsSleep(EndpointState state, Set<String> pools, int running) {
@@ -52,9 +53,9 @@
         return running > 0 ? Optional.empty() : Optional.of(Order.of(OrderType.SLEEP));
     }
 
-    private static Optional<Order> unloadSurplusPool(EndpointGoal goal, Set<String> pools) {
+    private static Optional<Order> unloadSurplusPool(DesiredEndpointState desired, Set<String> pools) {
         return pools.stream()
-                .filter(pool -> !goal.pools().contains(pool))
+                .filter(pool -> !desired.pools().contains(pool))
                 .sorted()
                 .findFirst()
                 .map(pool -> new Order(OrderType.UNLOAD, pool));
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Endpoint.java
@@ -10,7 +10,7 @@
  * @since 0.1.0
  */
 public sealed interface Endpoint permits Engine, Runner {
-    /** Returns the identity of the endpoint in the platform's VM list. */
+    /** Returns the id of the endpoint in the platform's VM list. */
     String id();
 
     /** Returns the incarnation of the endpoint, which changes with each restart. */
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointList.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/EndpointList.java
@@ -6,7 +6,7 @@
 import org.radishpass.core.placement.Rendezvous;
 
 /**
- * A list of endpoints that stores the hash of each endpoint's identity. Each placement decision needs all of these
+ * A list of endpoints that stores the hash of each endpoint's id. Each placement decision needs all of these
  * hashes, so they are computed once.
  *
  * <p>Immutable.
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns the hash of an endpoint's identity.
+     * Returns the hash of an endpoint's id.
      *
      * @param index the position of the endpoint in the list
      */
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/FleetView.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/FleetView.java
@@ -19,7 +19,7 @@
 
     private final Map<String, Vm> vms;
     private final Map<String, Endpoint> endpoints;
-    private final Map<String, List<Endpoint>> openByPool;
+    private final Map<String, List<Endpoint>> acceptingByPool;
 
     private FleetView(Collection<Vm> vms, Collection<Endpoint> endpoints) {
         Map<String, Vm> vmsById = new HashMap<>();
@@ -37,7 +37,7 @@
         this.vms = Map.copyOf(vmsById);
         this.endpoints = Map.copyOf(endpointsById);
         pools.replaceAll((pool, members) -> EndpointList.of(members));
-        this.openByPool = Map.copyOf(pools);
+        this.acceptingByPool = Map.copyOf(pools);
     }
 
     /** Returns a snapshot without routers and endpoints. */
@@ -63,7 +63,7 @@
     /**
      * Returns a machine that runs a router, or empty if it is not in this snapshot.
      *
-     * @param id the identity of the machine
+     * @param id the id of the machine
      */
     public Optional<Vm> vm(String id) {
         return Optional.ofNullable(vms.get(id));
@@ -77,23 +77,23 @@
     /**
      * Returns an endpoint, in any state, or empty if it is not in this snapshot.
      *
-     * @param id the identity of the endpoint
+     * @param id the id of the endpoint
      */
     public Optional<Endpoint> endpoint(String id) {
         return Optional.ofNullable(endpoints.get(id));
     }
 
     /**
-     * Returns the endpoints that accept new requests of a pool, ordered by identity.
+     * Returns the endpoints that accept new requests of a pool, ordered by id.
      *
      * @param pool the name of the pool
      */
-    public List<Endpoint> open(String pool) {
-        return openByPool.getOrDefault(pool, List.of());
+    public List<Endpoint> acceptingEndpoints(String pool) {
+        return acceptingByPool.getOrDefault(pool, List.of());
     }
 
     /** Returns the names of the pools for which at least one endpoint accepts new requests. */
-    public Set<String> openPools() {
-        return openByPool.keySet();
+    public Set<String> acceptingPools() {
+        return acceptingByPool.keySet();
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/Runner.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/Runner.java
@@ -5,7 +5,7 @@
 /**
  * An endpoint that runs services other than language models.
  *
- * @param id the identity of the endpoint in the platform's VM list
+ * @param id the id of the endpoint in the platform's VM list
  * @param incarnation the incarnation of the endpoint, which changes with each restart
  * @param dataCentre the data centre in which the endpoint runs
  * @param address the address at which the endpoint accepts requests
--- a/radishpass-core/src/main/java/org/radishpass/core/fleet/VmListing.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/fleet/VmListing.java
@@ -3,7 +3,7 @@
 /**
  * An entry of the platform's VM list.
  *
- * @param id the identity of the machine
+ * @param id the id of the machine
  * @param incarnation the incarnation of the machine, which changes with each restart
  * @param kind the purpose of the machine
  * @param dataCentre the data centre in which the machine runs
--- a/radishpass-core/src/main/java/org/radishpass/core/lease/Lease.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/lease/Lease.java
@@ -5,7 +5,7 @@
 /**
  * A lease as recorded in the platform's store.
  *
- * @param holder the identity and incarnation of the holder; empty if the lease was released or never held
+ * @param holder the id and incarnation of the holder; empty if the lease was released or never held
  * @param epoch the fencing number, which increases with each new holder
  * @param deadline the time at which the lease expires, by the holder's clock
  * @since 0.1.0
--- a/radishpass-core/src/main/java/org/radishpass/core/lease/LeaseRules.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/lease/LeaseRules.java
@@ -53,7 +53,7 @@
      * @param requestedAtNanos the monotonic time just before the holder last requested the lease, in nanoseconds
      * @param nowNanos the current monotonic time, in nanoseconds
      */
-    public boolean mayOrder(long requestedAtNanos, long nowNanos) {
+    public boolean maySendOrder(long requestedAtNanos, long nowNanos) {
         long elapsed = nowNanos - requestedAtNanos;
         return elapsed >= 0 && elapsed < term.minus(orderLife).toNanos();
     }
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SliverBound.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/LocalLoadLimiter.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Applies the load bound to the requests of this router alone, for when an endpoint's owner cannot be reached.
+ * Limits the requests that this router sends to each endpoint, by a load bound that counts only the requests of this
+ * router. The limit applies while the owner of the endpoint cannot be reached.
  *
  * <p>If each router keeps its requests at an endpoint within the multiple of its own mean, rounded up, then the
  * requests of all routers at that endpoint stay within the multiple of the overall mean, plus one request for each
@@ -14,13 +15,13 @@
  *
  * @since 0.1.0
  */
-public final class SliverBound {
+public final class LocalLoadLimiter {
     private final ConcurrentHashMap<String, AtomicInteger> running = new ConcurrentHashMap<>();
 
     /**
      * Returns the number of requests that this router has in progress at an endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public int running(String endpointId) {
         AtomicInteger count = running.get(endpointId);
@@ -30,7 +31,7 @@
     /**
      * Records that this router sends a request to an endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public void started(String endpointId) {
         running.computeIfAbsent(endpointId, id -> new AtomicInteger()).incrementAndGet();
@@ -39,7 +40,7 @@
     /**
      * Records that a request of this router at an endpoint has ended.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public void ended(String endpointId) {
         AtomicInteger count = running.get(endpointId);
@@ -51,7 +52,7 @@
     /**
      * Returns whether one more request at an endpoint stays within the bound.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      * @param weight the weight of the endpoint
      * @param pool the load of the pool, counting only requests of this router
      * @param bound the load bound to apply
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotBook.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/OwnedSlotAccounts.java
@@ -19,7 +19,7 @@
  *
  * @since 0.1.0
  */
-public final class SlotBook {
+public final class OwnedSlotAccounts {
     /** How long the other owners' part of a pool's load is used after an exchange. */
     public static final Duration POOL_LOAD_LIFETIME = Duration.ofSeconds(5);
 
@@ -32,14 +32,14 @@
      *
      * @param endpoints the endpoints that this router owns
      */
-    public void own(Collection<Endpoint> endpoints) {
+    public void setOwnedEndpoints(Collection<Endpoint> endpoints) {
         owned.clear();
         endpoints.forEach(endpoint -> owned.put(endpoint.id(), endpoint));
         accounts.keySet().retainAll(owned.keySet());
         owned.keySet().forEach(id -> accounts.computeIfAbsent(id, key -> new SlotAccount()));
     }
 
-    /** Returns the identities of the endpoints that this router owns. */
+    /** Returns the ids of the endpoints that this router owns. */
     public Set<String> ownedIds() {
         return owned.keySet();
     }
@@ -47,7 +47,7 @@
     /**
      * Grants or denies a slot.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      * @param pool the name of the pool, whose mean load determines the bound
      * @param request the requested slot
      * @param now the current time by this process's clock
@@ -67,7 +67,7 @@
     /**
      * Adopts a slot that another owner granted. Has no effect if this router does not own the endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      * @param request the slot, which its holder holds already
      */
     public void adopt(String endpointId, SlotRequest request) {
@@ -80,7 +80,7 @@
     /**
      * Releases a slot. Has no effect if this router does not own the endpoint or the slot is not held.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      * @param slot the slot to release
      */
     public void release(String endpointId, SlotId slot) {
@@ -93,7 +93,7 @@
     /**
      * Applies an endpoint's own report of its load. Has no effect if this router does not own the endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      * @param running the number of requests in progress at the endpoint
      * @param capacity the number of requests that the endpoint can run concurrently; 0 if it does not report one
      */
@@ -107,7 +107,7 @@
     /**
      * Releases the slots of a router that has stopped.
      *
-     * @param holder the identity of the router that holds the slots
+     * @param holder the id of the router that holds the slots
      */
     public void releaseAllOf(String holder) {
         accounts.values().forEach(account -> account.releaseAllOf(holder));
@@ -125,7 +125,7 @@
     /**
      * Returns the number of requests in progress at an owned endpoint; 0 if this router does not own the endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public int running(String endpointId) {
         SlotAccount account = accounts.get(endpointId);
@@ -133,15 +133,15 @@
     }
 
     /** Returns the load of the owned endpoints that accept new requests, by pool. */
-    public Map<String, PoolLoad> parts() {
-        Map<String, PoolLoad> parts = new HashMap<>();
+    public Map<String, PoolLoad> ownedLoadByPool() {
+        Map<String, PoolLoad> loadByPool = new HashMap<>();
         owned.values().stream()
                 .filter(endpoint -> endpoint.state().acceptsNewRequests())
                 .forEach(endpoint -> {
                     PoolLoad load = new PoolLoad(running(endpoint.id()), endpoint.weight());
-                    endpoint.pools().forEach(pool -> parts.merge(pool, load, PoolLoad::plus));
+                    endpoint.pools().forEach(pool -> loadByPool.merge(pool, load, PoolLoad::plus));
                 });
-        return parts;
+        return loadByPool;
     }
 
     /**
@@ -152,7 +152,7 @@
      * @param ownPart this owner's part as it is included in the total
      * @param now the current time by this process's clock
      */
-    public void total(String pool, PoolLoad total, PoolLoad ownPart, Instant now) {
+    public void recordPoolLoad(String pool, PoolLoad total, PoolLoad ownPart, Instant now) {
         PoolLoad others = new PoolLoad(
                 Math.max(0, total.running() - ownPart.running()), Math.max(0, total.weight() - ownPart.weight()));
         othersLoadByPool.put(pool, new OthersLoad(others, now.plus(POOL_LOAD_LIFETIME)));
--- a/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/OwnerSelection.java
@@ -32,17 +32,17 @@
      * @param pool the name of the pool
      * @param vms the machines that run routers
      */
-    public static Optional<Vm> ofPool(String pool, Collection<Vm> vms) {
+    public static Optional<Vm> poolOwner(String pool, Collection<Vm> vms) {
         return Candidates.of(vms).highestScored("pool " + pool);
     }
 
     /**
-     * Returns the owner of each endpoint, by the endpoint's identity. The map is empty if no router is eligible.
+     * Returns the owner of each endpoint, by the endpoint's id. The map is empty if no router is eligible.
      *
      * @param endpoints the endpoints
      * @param vms the machines that run routers
      */
-    public static Map<String, Vm> ofAll(Collection<Endpoint> endpoints, Collection<Vm> vms) {
+    public static Map<String, Vm> endpointOwners(Collection<Endpoint> endpoints, Collection<Vm> vms) {
         Candidates everywhere = Candidates.of(vms);
         Map<DataCentre, Candidates> byDataCentre = new HashMap<>();
         Map<String, Vm> owners = new HashMap<>();
@@ -58,7 +58,7 @@
         return Map.copyOf(owners);
     }
 
-    /** The routers that are eligible as owners, with the hashes of their identities. */
+    /** The routers that are eligible as owners, with the hashes of their ids. */
     private record Candidates(List<Vm> vms, long[] hashes) {
         private static Candidates of(Collection<Vm> vms) {
             List<Vm> staying = vms.stream().filter(vm -> !vm.leaving()).toList();
--- a/radishpass-core/src/main/java/org/radishpass/core/load/PoolLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/PoolLoadAggregator.java
@@ -13,14 +13,14 @@
  *
  * @since 0.1.0
  */
-public final class PoolLedger {
+public final class PoolLoadAggregator {
     private final Map<String, Map<String, Part>> partsByPool = new HashMap<>();
 
     /**
      * Records an owner's part of the load of a pool, in place of its earlier one.
      *
      * @param pool the name of the pool
-     * @param owner the identity of the router that owns the counted endpoints
+     * @param owner the id of the router that owns the counted endpoints
      * @param load the load of these endpoints
      * @param deadline the time until which the part counts, by this process's clock
      */
--- a/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/load/SlotAccount.java
@@ -109,7 +109,7 @@
     /**
      * Releases all slots of a router that has stopped.
      *
-     * @param holder the identity of the router that holds the slots
+     * @param holder the id of the router that holds the slots
      * @return the number of slots released
      */
     public int releaseAllOf(String holder) {
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/EndpointReport.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/EndpointReport.java
@@ -6,7 +6,7 @@
 /**
  * A report of an endpoint on itself, or the observation that the endpoint did not answer.
  *
- * @param endpointId the identity of the endpoint
+ * @param endpointId the id of the endpoint
  * @param incarnation the incarnation of the endpoint; a later one sorts after an earlier one
  * @param sequence a number that increases with each report of an incarnation
  * @param state the lifecycle state of the endpoint
@@ -44,7 +44,7 @@
      *
      * @param other the other report
      */
-    public boolean sameStanding(EndpointReport other) {
+    public boolean sameIncarnationStateAndPools(EndpointReport other) {
         return incarnation.equals(other.incarnation) && state == other.state && pools.equals(other.pools);
     }
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/membership/FleetDirectory.java
@@ -49,7 +49,7 @@
      * @param now the current time by this process's clock
      * @return whether the directory changed in a way that can change the {@link #view}
      */
-    public boolean listed(Collection<VmListing> listings, Instant now) {
+    public boolean applyVmList(Collection<VmListing> listings, Instant now) {
         if (listings.isEmpty()) {
             return false;
         }
@@ -77,7 +77,7 @@
      * @param now the current time by this process's clock
      * @return whether the directory changed in a way that can change the {@link #view}
      */
-    public boolean reported(EndpointReport report, Instant now) {
+    public boolean applyReport(EndpointReport report, Instant now) {
         Entry entry = entries.get(report.endpointId());
         if (entry == null) {
             return false;
@@ -93,15 +93,15 @@
         if (report.state() == EndpointState.LEAVING) {
             leavingIncarnations.add(incarnationKey(report.endpointId(), report.incarnation()));
         }
-        return last == null || !report.sameStanding(last);
+        return last == null || !report.sameIncarnationStateAndPools(last);
     }
 
     /**
      * Marks a machine as leaving for the rest of its incarnation. Has no effect if the machine is unknown.
      *
-     * @param id the identity of the machine
+     * @param id the id of the machine
      */
-    public void left(String id) {
+    public void markLeaving(String id) {
         Entry entry = entries.get(id);
         if (entry != null) {
             leavingIncarnations.add(incarnationKey(id, entry.incarnation()));
@@ -111,7 +111,7 @@
     /**
      * Returns the last report of an endpoint, or empty if there is none.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public Optional<EndpointReport> lastReport(String endpointId) {
         Entry entry = entries.get(endpointId);
--- a/radishpass-core/src/main/java/org/radishpass/core/once/Ticket.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/Ticket.java
@@ -8,7 +8,7 @@
  * An identifier that a router issues for a request. It names the only incarnation of the only router that may run the
  * request.
  *
- * @param router the identity of the router that issued the ticket
+ * @param router the id of the router that issued the ticket
  * @param incarnation the incarnation of that router
  * @param number the number of the ticket, unique within the incarnation
  * @since 0.1.0
--- a/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/once/TicketLedger.java
@@ -98,7 +98,7 @@
      *
      * @param number the number of the ticket
      */
-    public synchronized void notRun(long number) {
+    public synchronized void markNotRun(long number) {
         Entry<R> entry = entries.get(number);
         if (entry != null) {
             entry.run = null;
--- a/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/outcome/Verdict.java
@@ -18,7 +18,7 @@
      *
      * @param other the verdict on the other attempt
      */
-    public Verdict and(Verdict other) {
+    public Verdict combinedWith(Verdict other) {
         return compareTo(other) >= 0 ? this : other;
     }
 
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/AffinityToken.java
@@ -22,7 +22,7 @@
      * Returns the token of an endpoint for a workspace.
      *
      * @param workspace the workspace
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public static String of(String workspace, String endpointId) {
         return Long.toHexString(Rendezvous.mix(Rendezvous.hash(workspace), Rendezvous.hash(endpointId)));
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/LoadEstimate.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/LoadEstimate.java
@@ -10,7 +10,7 @@
     /**
      * Returns the estimated number of requests in progress at an endpoint.
      *
-     * @param endpointId the identity of the endpoint
+     * @param endpointId the id of the endpoint
      */
     double load(String endpointId);
 }
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/PlacementRequest.java
@@ -8,7 +8,7 @@
 /**
  * The input of a placement policy for a request.
  *
- * @param endpoints the endpoints that accept the request, ordered by identity
+ * @param endpoints the endpoints that accept the request, ordered by id
  * @param workspace the workspace that sent the request
  * @param chat the chat to which the request belongs
  * @param spread the number of endpoints over which the workspace's chats are spread; 0 for all
--- a/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
+++ b/radishpass-core/src/main/java/org/radishpass/core/placement/Rendezvous.java
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Returns the hash of a key or of a member's identity, to be computed once and used in many scores.
+     * Returns the hash of a key or of a member's id, to be computed once and used in many scores.
      *
-     * @param key the key or the identity
+     * @param key the key or the id
      */
     public static long hash(String key) {
         return HASH.hashChars(key);
@@ -35,7 +35,7 @@
      * Combines the hash of a key with the hash of a member into a number that is distributed uniformly over all values.
      *
      * @param keyHash the {@link #hash} of the key
-     * @param memberHash the {@link #hash} of the member's identity
+     * @param memberHash the {@link #hash} of the member's id
      */
     public static long mix(long keyHash, long memberHash) {
         long mixed = keyHash ^ (memberHash * MEMBER_MULTIPLIER);
@@ -49,7 +49,7 @@
      * rank in the order of their {@link #mix}, taken as an unsigned number without its lowest 11 bits.
      *
      * @param keyHash the {@link #hash} of the key
-     * @param memberHash the {@link #hash} of the member's identity
+     * @param memberHash the {@link #hash} of the member's id
      * @param weight the member's weight, above 0
      */
     public static double score(long keyHash, long memberHash, double weight) {
--- a/radishpass-core/src/test/java/org/radishpass/core/admission/WorkspaceGateTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/admission/WorkspaceLimiterTest.java
@@ -5,36 +5,36 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks the limits on the requests that workspaces have in progress. */
-final class WorkspaceGateTest {
-    private final WorkspaceGate gate = new WorkspaceGate();
+final class WorkspaceLimiterTest {
+    private final WorkspaceLimiter limiter = new WorkspaceLimiter();
 
     @Test
     void aRouterAdmitsItsShareOfTheFleetLimitPlusHeadroom() {
         int entered = 0;
-        while (gate.tryEnter("w", 80, 8)) {
+        while (limiter.tryAcquire("w", 80, 8)) {
             entered++;
         }
 
         assertThat(entered).isEqualTo(15);
-        assertThat(gate.inProgress("w")).isEqualTo(15);
+        assertThat(limiter.inProgress("w")).isEqualTo(15);
     }
 
     @Test
     void aRequestIsAdmittedAfterAnotherOneHasEnded() {
-        assertThat(gate.tryEnter("w", 1, 100)).isTrue();
-        assertThat(gate.tryEnter("w", 1, 100)).isFalse();
+        assertThat(limiter.tryAcquire("w", 1, 100)).isTrue();
+        assertThat(limiter.tryAcquire("w", 1, 100)).isFalse();
 
-        gate.leave("w");
+        limiter.release("w");
 
-        assertThat(gate.tryEnter("w", 1, 100)).isTrue();
+        assertThat(limiter.tryAcquire("w", 1, 100)).isTrue();
     }
 
     @Test
     void aWorkspaceAtItsLimitDoesNotAffectAnotherWorkspace() {
-        while (gate.tryEnter("one", 10, 1)) {
+        while (limiter.tryAcquire("one", 10, 1)) {
             // admit requests up to the limit
         }
 
-        assertThat(gate.tryEnter("other", 10, 1)).isTrue();
+        assertThat(limiter.tryAcquire("other", 10, 1)).isTrue();
     }
 }
--- a/radishpass-core/src/test/java/org/radishpass/core/converge/ConvergeTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/converge/ConvergeTest.java
@@ -16,7 +16,7 @@
 
 /** Checks the assignment of engines to models and the orders that bring an engine to its desired state. */
 final class ConvergeTest {
-    private static final EndpointGoal NEW_VERSION = new EndpointGoal(true, List.of("m@2", "m:a@2"));
+    private static final DesiredEndpointState NEW_VERSION = new DesiredEndpointState(true, List.of("m@2", "m:a@2"));
 
     @Test
     void aNewVersionIsLoadedBeforeTheOldOneIsUnloaded() {
@@ -41,9 +41,9 @@
 
     @Test
     void anEngineIsPutToSleepOnlyAfterItsLastRequestHasEnded() {
-        assertThat(OrderPlan.next(EndpointGoal.ASLEEP, EndpointState.READY, Set.of(), 1))
+        assertThat(OrderPlan.next(DesiredEndpointState.ASLEEP, EndpointState.READY, Set.of(), 1))
                 .isEmpty();
-        assertThat(OrderPlan.next(EndpointGoal.ASLEEP, EndpointState.READY, Set.of(), 0))
+        assertThat(OrderPlan.next(DesiredEndpointState.ASLEEP, EndpointState.READY, Set.of(), 0))
                 .hasValue(new Order(OrderType.SLEEP, ""));
     }
 
@@ -70,17 +70,18 @@
 
     @Property(tries = 100, seed = "50")
     void eachModelGetsItsDemandIfThereAreEnoughEngines(@ForAll @IntRange(min = 7, max = 30) int count) {
-        Map<String, EndpointGoal> plan = CapacityPlan.of(demands(), engines(count));
+        Map<String, DesiredEndpointState> plan = CapacityPlan.of(demands(), engines(count));
 
         assertThat(plan.values().stream()
-                        .filter(goal -> goal.pools().contains("a@1"))
+                        .filter(desired -> desired.pools().contains("a@1"))
                         .count())
                 .isEqualTo(3);
         assertThat(plan.values().stream()
-                        .filter(goal -> goal.pools().contains("b@1"))
+                        .filter(desired -> desired.pools().contains("b@1"))
                         .count())
                 .isEqualTo(2);
-        assertThat(plan.values().stream().filter(goal -> !goal.awake()).count()).isEqualTo(2);
+        assertThat(plan.values().stream().filter(desired -> !desired.awake()).count())
+                .isEqualTo(2);
     }
 
     private static List<CapacityPlan.Demand> demands() {
--- a/radishpass-core/src/test/java/org/radishpass/core/lease/LeaseRulesTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/lease/LeaseRulesTest.java
@@ -46,7 +46,7 @@
             @ForAll @LongRange(min = -2_000, max = 2_000) long clockDifferenceMillis) {
         Instant deadline = RULES.deadlineFrom(NOW);
         long sentAt = Duration.ofMillis(pausedMillis).toNanos();
-        if (!RULES.mayOrder(0, sentAt)) {
+        if (!RULES.maySendOrder(0, sentAt)) {
             return;
         }
         Instant orderExpires = NOW.plusNanos(sentAt).plus(RULES.orderLife());
--- a/radishpass-core/src/test/java/org/radishpass/core/load/SliverBoundTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/load/LocalLoadLimiterTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Checks the load bound that each router applies to its own requests when no owner can be reached. */
-final class SliverBoundTest {
+final class LocalLoadLimiterTest {
     private static final LoadBound BOUND = new LoadBound(1.25);
 
     @Property(tries = 100, seed = "46")
@@ -17,13 +17,13 @@
         int engines = 8;
         int[][] placed = new int[routers][engines];
         Random random = new Random(routers * 1_000L + requests);
-        SliverBound[] bounds = new SliverBound[routers];
+        LocalLoadLimiter[] limiters = new LocalLoadLimiter[routers];
         for (int r = 0; r < routers; r++) {
-            bounds[r] = new SliverBound();
+            limiters[r] = new LocalLoadLimiter();
         }
         for (int i = 0; i < requests; i++) {
             int router = random.nextInt(routers);
-            place(bounds[router], placed[router], random.nextInt(2));
+            place(limiters[router], placed[router], random.nextInt(2));
         }
         for (int e = 0; e < engines; e++) {
             int sum = 0;
@@ -34,8 +34,8 @@
         }
     }
 
-    /** Places a request at the preferred engine, or at the next engine whose bound allows it. */
-    private static void place(SliverBound routerBound, int[] placedByRouter, int preferred) {
+    /** Places a request at the preferred engine, or at the next engine whose load bound allows it. */
+    private static void place(LocalLoadLimiter limiter, int[] placedByRouter, int preferred) {
         int running = 0;
         for (int count : placedByRouter) {
             running += count;
@@ -43,8 +43,8 @@
         PoolLoad part = new PoolLoad(running, placedByRouter.length);
         for (int k = 0; k < placedByRouter.length; k++) {
             int engine = (preferred + k) % placedByRouter.length;
-            if (routerBound.allows("engine-" + engine, 1, part, BOUND)) {
-                routerBound.started("engine-" + engine);
+            if (limiter.allows("engine-" + engine, 1, part, BOUND)) {
+                limiter.started("engine-" + engine);
                 placedByRouter[engine]++;
                 return;
             }
--- a/radishpass-core/src/test/java/org/radishpass/core/load/SlotBookTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/load/OwnedSlotAccountsTest.java
@@ -17,15 +17,15 @@
 import org.radishpass.core.testing.Endpoints;
 
 /** Checks the slot accounts of the endpoints that a router owns. */
-final class SlotBookTest {
+final class OwnedSlotAccountsTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final LoadBound BOUND = new LoadBound(1.25);
 
-    private final SlotBook book = new SlotBook();
+    private final OwnedSlotAccounts accounts = new OwnedSlotAccounts();
 
     @Test
     void noSlotIsGrantedAtALeavingEndpoint() {
-        book.own(List.of(Endpoints.engine("engine-0", EndpointState.LEAVING)));
+        accounts.setOwnedEndpoints(List.of(Endpoints.engine("engine-0", EndpointState.LEAVING)));
 
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.CLOSED);
     }
@@ -37,7 +37,7 @@
 
     @Test
     void aSecondSlotAtOneOfFourIdleEndpointsIsOverTheBound() {
-        book.own(Endpoints.engines(4));
+        accounts.setOwnedEndpoints(Endpoints.engines(4));
 
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.GRANTED);
         assertThat(reserve("engine-0", "b")).isEqualTo(SlotAnswer.OVER_BOUND);
@@ -46,61 +46,61 @@
 
     @Test
     void aRepeatedRequestForAHeldSlotHoldsNoSecondSlot() {
-        book.own(Endpoints.engines(1));
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
         reserve("engine-0", "a");
 
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.GRANTED);
-        assertThat(book.running("engine-0")).isEqualTo(1);
+        assertThat(accounts.running("engine-0")).isEqualTo(1);
     }
 
     @Test
     void aSlotExpiresAtItsDeadline() {
-        book.own(Endpoints.engines(1));
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
         reserve("engine-0", "a");
 
-        book.expire(NOW.plusSeconds(59));
-        assertThat(book.running("engine-0")).isEqualTo(1);
-        book.expire(NOW.plusSeconds(60));
-        assertThat(book.running("engine-0")).isEqualTo(0);
+        accounts.expire(NOW.plusSeconds(59));
+        assertThat(accounts.running("engine-0")).isEqualTo(1);
+        accounts.expire(NOW.plusSeconds(60));
+        assertThat(accounts.running("engine-0")).isEqualTo(0);
     }
 
     @Test
     void theSlotsOfAStoppedRouterAreReleased() {
-        book.own(Endpoints.engines(1));
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
         reserve("engine-0", "a");
 
-        book.releaseAllOf("router");
+        accounts.releaseAllOf("router");
 
-        assertThat(book.running("engine-0")).isEqualTo(0);
+        assertThat(accounts.running("engine-0")).isEqualTo(0);
     }
 
     @Test
     void foreignLoadCountsAfterTwoReportsShowIt() {
-        book.own(Endpoints.engines(2));
-        book.report("engine-0", 5, 32);
-        assertThat(book.running("engine-0")).isEqualTo(0);
+        accounts.setOwnedEndpoints(Endpoints.engines(2));
+        accounts.report("engine-0", 5, 32);
+        assertThat(accounts.running("engine-0")).isEqualTo(0);
 
-        book.report("engine-0", 5, 32);
+        accounts.report("engine-0", 5, 32);
 
-        assertThat(book.running("engine-0")).isEqualTo(5);
+        assertThat(accounts.running("engine-0")).isEqualTo(5);
         assertThat(reserve("engine-0", "a")).isEqualTo(SlotAnswer.OVER_BOUND);
     }
 
     @Test
     void anAdoptedSlotIsNotCountedAsForeignLoadToo() {
-        book.own(Endpoints.engines(1));
-        book.report("engine-0", 1, 32);
-        book.report("engine-0", 1, 32);
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
+        accounts.report("engine-0", 1, 32);
+        accounts.report("engine-0", 1, 32);
 
-        book.adopt("engine-0", request("a", PriorityClass.INTERACTIVE));
+        accounts.adopt("engine-0", request("a", PriorityClass.INTERACTIVE));
 
-        assertThat(book.running("engine-0")).isEqualTo(1);
+        assertThat(accounts.running("engine-0")).isEqualTo(1);
     }
 
     @Test
     void aSlotBeyondTheCapacityIsDeniedAsFull() {
-        book.own(Endpoints.engines(1));
-        book.report("engine-0", 0, 1);
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
+        accounts.report("engine-0", 0, 1);
         reserve("engine-0", "a");
 
         assertThat(reserve("engine-0", "b")).isEqualTo(SlotAnswer.FULL);
@@ -108,35 +108,35 @@
 
     @Test
     void batchRequestsHoldAtMostHalfOfTheSlots() {
-        book.own(Endpoints.engines(1));
-        book.report("engine-0", 0, 4);
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
+        accounts.report("engine-0", 0, 4);
 
         assertThat(reserve("engine-0", "a", PriorityClass.BATCH)).isEqualTo(SlotAnswer.GRANTED);
         assertThat(reserve("engine-0", "b", PriorityClass.BATCH)).isEqualTo(SlotAnswer.GRANTED);
         assertThat(reserve("engine-0", "c", PriorityClass.BATCH)).isEqualTo(SlotAnswer.FULL);
         assertThat(reserve("engine-0", "d", PriorityClass.INTERACTIVE)).isEqualTo(SlotAnswer.GRANTED);
 
-        book.release("engine-0", new SlotId("router", "a".hashCode()));
+        accounts.release("engine-0", new SlotId("router", "a".hashCode()));
 
         assertThat(reserve("engine-0", "c", PriorityClass.BATCH)).isEqualTo(SlotAnswer.GRANTED);
     }
 
     @Test
     void theLoadOfOtherOwnersCountsUntilItExpires() {
-        book.own(Endpoints.engines(1));
-        book.total(Endpoints.POOL, new PoolLoad(10, 5), new PoolLoad(2, 1), NOW);
+        accounts.setOwnedEndpoints(Endpoints.engines(1));
+        accounts.recordPoolLoad(Endpoints.POOL, new PoolLoad(10, 5), new PoolLoad(2, 1), NOW);
 
-        assertThat(book.poolLoad(Endpoints.POOL, NOW)).isEqualTo(new PoolLoad(8, 5));
-        assertThat(book.poolLoad(Endpoints.POOL, NOW.plus(SlotBook.POOL_LOAD_LIFETIME)))
+        assertThat(accounts.poolLoad(Endpoints.POOL, NOW)).isEqualTo(new PoolLoad(8, 5));
+        assertThat(accounts.poolLoad(Endpoints.POOL, NOW.plus(OwnedSlotAccounts.POOL_LOAD_LIFETIME)))
                 .isEqualTo(new PoolLoad(0, 1));
     }
 
     @Property(tries = 200, seed = "45")
     void noEndpointExceedsTheBoundAndSomeEndpointAlwaysHasRoom(
             @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(min = 1, max = 80) int requests) {
-        SlotBook ownerBook = new SlotBook();
+        OwnedSlotAccounts ownerAccounts = new OwnedSlotAccounts();
         List<Endpoint> endpoints = Endpoints.engines(engines);
-        ownerBook.own(endpoints);
+        ownerAccounts.setOwnedEndpoints(endpoints);
         Random random = new Random(engines * 1_000L + requests);
         for (int i = 0; i < requests; i++) {
             List<Endpoint> ranked = new ArrayList<>(endpoints);
@@ -146,10 +146,10 @@
             boolean placed = false;
             for (int k = 0; k < engines && !placed; k++) {
                 String id = ranked.get(k).id();
-                int limit = BOUND.limit(ownerBook.poolLoad(Endpoints.POOL, NOW), 1);
+                int limit = BOUND.limit(ownerAccounts.poolLoad(Endpoints.POOL, NOW), 1);
                 SlotRequest request = request("slot-" + i, PriorityClass.INTERACTIVE);
-                placed = ownerBook.reserve(id, Endpoints.POOL, request, NOW) == SlotAnswer.GRANTED;
-                assertThat(placed && ownerBook.running(id) > limit).isFalse();
+                placed = ownerAccounts.reserve(id, Endpoints.POOL, request, NOW) == SlotAnswer.GRANTED;
+                assertThat(placed && ownerAccounts.running(id) > limit).isFalse();
             }
             assertThat(placed).isTrue();
         }
@@ -160,7 +160,7 @@
     }
 
     private SlotAnswer reserve(String endpointId, String slotId, PriorityClass priority) {
-        return book.reserve(endpointId, Endpoints.POOL, request(slotId, priority), NOW);
+        return accounts.reserve(endpointId, Endpoints.POOL, request(slotId, priority), NOW);
     }
 
     private static SlotRequest request(String slotId, PriorityClass priority) {
--- a/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/membership/FleetDirectoryTest.java
@@ -22,10 +22,10 @@
 
     @Test
     void anEndpointAcceptsRequestsOnceItHasReportedReady() {
-        directory.listed(List.of(engine("a", "1", false)), NOW);
+        directory.applyVmList(List.of(engine("a", "1", false)), NOW);
         assertThat(openEndpointIds()).isEmpty();
 
-        directory.reported(report("a", "1", 1, EndpointState.READY), NOW);
+        directory.applyReport(report("a", "1", 1, EndpointState.READY), NOW);
 
         assertThat(openEndpointIds()).containsExactly("a");
     }
@@ -34,7 +34,7 @@
     void anEmptyListChangesNothing() {
         addReadyEngine("a");
 
-        directory.listed(List.of(), NOW.plusSeconds(60));
+        directory.applyVmList(List.of(), NOW.plusSeconds(60));
 
         assertThat(openEndpointIds()).containsExactly("a");
     }
@@ -43,9 +43,9 @@
     void anUnlistedEndpointThatStillAnswersIsKept() {
         addReadyEngine("a");
         addReadyEngine("b");
-        directory.reported(report("a", "1", 2, EndpointState.READY), NOW.plusSeconds(14));
+        directory.applyReport(report("a", "1", 2, EndpointState.READY), NOW.plusSeconds(14));
 
-        directory.listed(List.of(engine("b", "1", false)), NOW.plusSeconds(20));
+        directory.applyVmList(List.of(engine("b", "1", false)), NOW.plusSeconds(20));
 
         assertThat(openEndpointIds()).containsExactly("a", "b");
     }
@@ -55,7 +55,7 @@
         addReadyEngine("a");
         addReadyEngine("b");
 
-        directory.listed(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.RETENTION));
+        directory.applyVmList(List.of(engine("b", "1", false)), NOW.plus(FleetDirectory.RETENTION));
 
         assertThat(openEndpointIds()).containsExactly("b");
     }
@@ -63,23 +63,23 @@
     @Test
     void leavingLastsUntilTheEndOfTheIncarnation() {
         addReadyEngine("a");
-        directory.listed(List.of(engine("a", "1", true)), NOW);
-        directory.listed(List.of(engine("a", "1", false)), NOW);
-        directory.reported(report("a", "1", 9, EndpointState.READY), NOW);
+        directory.applyVmList(List.of(engine("a", "1", true)), NOW);
+        directory.applyVmList(List.of(engine("a", "1", false)), NOW);
+        directory.applyReport(report("a", "1", 9, EndpointState.READY), NOW);
         assertThat(openEndpointIds()).isEmpty();
 
-        directory.listed(List.of(engine("a", "2", false)), NOW);
-        directory.reported(report("a", "2", 1, EndpointState.READY), NOW);
+        directory.applyVmList(List.of(engine("a", "2", false)), NOW);
+        directory.applyReport(report("a", "2", 1, EndpointState.READY), NOW);
 
         assertThat(openEndpointIds()).containsExactly("a");
     }
 
     @Test
     void anOlderReportNeverReplacesANewerOne() {
-        directory.listed(List.of(engine("a", "1", false)), NOW);
-        directory.reported(report("a", "1", 5, EndpointState.READY), NOW);
+        directory.applyVmList(List.of(engine("a", "1", false)), NOW);
+        directory.applyReport(report("a", "1", 5, EndpointState.READY), NOW);
 
-        boolean changed = directory.reported(report("a", "1", 4, EndpointState.ASLEEP), NOW);
+        boolean changed = directory.applyReport(report("a", "1", 4, EndpointState.ASLEEP), NOW);
 
         assertThat(changed).isFalse();
         assertThat(openEndpointIds()).containsExactly("a");
@@ -87,10 +87,10 @@
 
     @Test
     void aReportOfAnEarlierIncarnationIsIgnored() {
-        directory.listed(List.of(engine("a", "2", false)), NOW);
-        directory.reported(report("a", "2", 1, EndpointState.READY), NOW);
+        directory.applyVmList(List.of(engine("a", "2", false)), NOW);
+        directory.applyReport(report("a", "2", 1, EndpointState.READY), NOW);
 
-        directory.reported(report("a", "1", 99, EndpointState.LEAVING), NOW);
+        directory.applyReport(report("a", "1", 99, EndpointState.LEAVING), NOW);
 
         assertThat(openEndpointIds()).containsExactly("a");
     }
@@ -101,7 +101,7 @@
         addReadyEngine("b");
         addReadyEngine("c");
 
-        directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
+        directory.applyReport(report("a", "1", 2, EndpointState.SUSPECT), NOW);
 
         assertThat(openEndpointIds()).containsExactly("b", "c");
     }
@@ -112,19 +112,21 @@
         addReadyEngine("b");
         addReadyEngine("c");
 
-        directory.reported(report("a", "1", 2, EndpointState.SUSPECT), NOW);
-        directory.reported(report("b", "1", 2, EndpointState.SUSPECT), NOW);
+        directory.applyReport(report("a", "1", 2, EndpointState.SUSPECT), NOW);
+        directory.applyReport(report("b", "1", 2, EndpointState.SUSPECT), NOW);
 
         assertThat(openEndpointIds()).containsExactly("a", "b", "c");
     }
 
     private void addReadyEngine(String id) {
-        directory.listed(List.of(engine(id, "1", false)), NOW);
-        directory.reported(report(id, "1", 1, EndpointState.READY), NOW);
+        directory.applyVmList(List.of(engine(id, "1", false)), NOW);
+        directory.applyReport(report(id, "1", 1, EndpointState.READY), NOW);
     }
 
     private List<String> openEndpointIds() {
-        return directory.view().open(POOL).stream().map(Endpoint::id).toList();
+        return directory.view().acceptingEndpoints(POOL).stream()
+                .map(Endpoint::id)
+                .toList();
     }
 
     private static VmListing engine(String id, String incarnation, boolean leaving) {
--- a/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/once/TicketLedgerTest.java
@@ -40,7 +40,7 @@
     @Test
     void aRequestThatProvablyDidNotRunMayBeginAgain() {
         redeem("w", "hash", "one");
-        ledger.notRun(number);
+        ledger.markNotRun(number);
 
         assertThat(redeem("w", "hash", "two")).isInstanceOf(TicketDecision.Begin.class);
     }
--- a/radishpass-core/src/test/java/org/radishpass/core/outcome/VerdictTest.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/outcome/VerdictTest.java
@@ -25,9 +25,9 @@
 
     @Property(seed = "47")
     void aRequestCountsAsNotRunOnlyIfBothAttemptsDo(@ForAll Verdict first, @ForAll Verdict second) {
-        Verdict combined = first.and(second);
+        Verdict combined = first.combinedWith(second);
 
         assertThat(combined == Verdict.NOT_RUN).isEqualTo(first == Verdict.NOT_RUN && second == Verdict.NOT_RUN);
-        assertThat(combined).isEqualTo(second.and(first));
+        assertThat(combined).isEqualTo(second.combinedWith(first));
     }
 }
--- a/radishpass-core/src/test/java/org/radishpass/core/testing/Endpoints.java
+++ b/radishpass-core/src/test/java/org/radishpass/core/testing/Endpoints.java
@@ -34,7 +34,7 @@
     /**
      * Returns an engine that serves {@link #POOL}.
      *
-     * @param id the identity of the engine
+     * @param id the id of the engine
      * @param state the lifecycle state of the engine
      */
     public static Engine engine(String id, EndpointState state) {
--- a/radishpass-dist/src/test/java/org/radishpass/dist/TestFleet.java
+++ b/radishpass-dist/src/test/java/org/radishpass/dist/TestFleet.java
@@ -113,7 +113,7 @@
 
     private void loadPools(EngineStandIn engine) {
         for (String pool : List.of("atlas@1", "atlas:passbook@1")) {
-            byte[] order = HttpJson.bytes(Map.of("type", "load", "pool", pool, "epoch", 1, "revision", 0));
+            byte[] order = HttpJson.serialize(Map.of("type", "load", "pool", pool, "epoch", 1, "revision", 0));
             runtime.client()
                     .post()
                     .uri("http://127.0.0.1:" + engine.port() + "/v1/orders")
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Driver.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Driver.java
@@ -131,7 +131,7 @@
         runtime.client()
                 .put()
                 .uri(fleet.faultServer() + path)
-                .send((request, outbound) -> outbound.sendByteArray(Mono.just(HttpJson.bytes(body))))
+                .send((request, outbound) -> outbound.sendByteArray(Mono.just(HttpJson.serialize(body))))
                 .response()
                 .block(REQUEST_TIMEOUT);
     }
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Schedule.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/drive/Schedule.java
@@ -96,7 +96,7 @@
     private Arrival createPromptArrival(int index, long atNanos, Workload workload, Chat chat, String body) {
         StringBuilder text = new StringBuilder();
         chat.messages.forEach(message -> text.append(message.get("content")).append(' '));
-        List<Long> blocks = PromptBlocks.chain(text.toString());
+        List<Long> blocks = PromptBlocks.prefixHashes(text.toString());
         int reusable = 0;
         for (Long block : blocks) {
             if (!seenBlocks.contains(block)) {
@@ -135,7 +135,7 @@
     }
 
     private static String toJson(Object value) {
-        return new String(HttpJson.bytes(value), java.nio.charset.StandardCharsets.UTF_8);
+        return new String(HttpJson.serialize(value), java.nio.charset.StandardCharsets.UTF_8);
     }
 
     private record TimedWorkload(double atSeconds, Workload workload) {}
--- a/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeBench.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/internal/slope/SlopeBench.java
@@ -23,8 +23,8 @@
 import org.radishpass.core.fleet.VmKind;
 import org.radishpass.core.fleet.VmListing;
 import org.radishpass.core.load.LoadBound;
+import org.radishpass.core.load.OwnedSlotAccounts;
 import org.radishpass.core.load.OwnerSelection;
-import org.radishpass.core.load.SlotBook;
 import org.radishpass.core.load.SlotId;
 import org.radishpass.core.load.SlotRequest;
 import org.radishpass.core.membership.EndpointReport;
@@ -133,7 +133,7 @@
 
     private static double ownerSelectionMicros(double size) {
         FleetView fleet = FleetView.of(vms((int) size), endpoints(2_100));
-        return MicroBenchmark.medianMicros(() -> OwnerSelection.ofAll(fleet.endpoints(), fleet.vms()));
+        return MicroBenchmark.medianMicros(() -> OwnerSelection.endpointOwners(fleet.endpoints(), fleet.vms()));
     }
 
     private static double directoryHeapBytes(double size) {
@@ -144,8 +144,8 @@
     }
 
     private static double slotMicros(double size) {
-        SlotBook book = new SlotBook();
-        book.own(endpoints((int) size));
+        OwnedSlotAccounts book = new OwnedSlotAccounts();
+        book.setOwnedEndpoints(endpoints((int) size));
         AtomicLong number = new AtomicLong();
         return MicroBenchmark.medianMicros(() -> {
             SlotId slot = new SlotId("router", number.incrementAndGet());
@@ -193,9 +193,9 @@
             Address address = new Address("10.1." + i / 250 + '.' + i % 250, 8_000);
             listings.add(new VmListing("engine-" + i, "mh3k2a1b", VmKind.ENGINE, dataCentre(i), address, false));
         }
-        directory.listed(listings, NOW);
+        directory.applyVmList(listings, NOW);
         for (int i = 0; i < size; i++) {
-            directory.reported(
+            directory.applyReport(
                     new EndpointReport("engine-" + i, "mh3k2a1b", 1, EndpointState.READY, Set.of(POOL), 57, 64),
                     NOW.plus(Duration.ofSeconds(1)));
         }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/Envelope.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/Envelope.java
@@ -15,7 +15,7 @@
 public record Envelope(long id, PeerMessage message) {
     /** Tells whether the message is the response to a request. */
     @JsonIgnore
-    public boolean answer() {
+    public boolean response() {
         return id < 0;
     }
 
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerMessage.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/PeerMessage.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns the identity of the sender, if this message introduces the sender on a new connection.
+     * Returns the id of the sender, if this message introduces the sender on a new connection.
      *
      * @since 0.3.0
      */
@@ -126,7 +126,7 @@
      * @param pool the pool whose mean load limits the endpoint's load
      * @param priority the class of the request
      * @param bound the multiple of the mean load that the endpoint may run
-     * @param leftMillis the time until the slot expires, in milliseconds
+     * @param remainingMillis the time until the slot expires, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotWanted(
@@ -135,7 +135,7 @@
             String pool,
             @JsonFormat(shape = JsonFormat.Shape.NUMBER) PriorityClass priority,
             float bound,
-            int leftMillis)
+            int remainingMillis)
             implements PeerMessage {}
 
     /**
@@ -165,14 +165,14 @@
      * @param slotId the id of the slot, unique among the slots of its holder
      * @param endpointId the endpoint
      * @param priority the class of the request
-     * @param leftMillis the time until the slot expires, in milliseconds
+     * @param remainingMillis the time until the slot expires, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SlotHeld(
             long slotId,
             String endpointId,
             @JsonFormat(shape = JsonFormat.Shape.NUMBER) PriorityClass priority,
-            int leftMillis)
+            int remainingMillis)
             implements PeerMessage {}
 
     /**
@@ -250,7 +250,7 @@
      * @param contentType the media type of the body; empty without a body
      * @param body the body
      * @param priority the class of the request
-     * @param leftMillis the time until the deadline of the call, in milliseconds
+     * @param remainingMillis the time until the deadline of the call, in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record TicketRun(
@@ -262,7 +262,7 @@
             String contentType,
             byte[] body,
             @JsonFormat(shape = JsonFormat.Shape.NUMBER) PriorityClass priority,
-            int leftMillis)
+            int remainingMillis)
             implements PeerMessage {}
 
     /**
--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/RoutingMessage.java
@@ -66,8 +66,8 @@
     /**
      * A periodic report, sent several times a second: work in flight, and how recent the sender's data is.
      *
-     * @param configuration the version of the configuration in force at the sender; -1 before the sender has one
-     * @param directory the revision of the endpoint list that the sender read last; -1 before the sender has read one
+     * @param configurationVersion the version of the configuration in force at the sender; -1 before the sender has one
+     * @param directoryRevision the revision of the endpoint list that the sender read last; -1 before the sender has read one
      * @param work the work in flight at each endpoint, of the routers in the scope
      * @param directoryHash the hash of the endpoint list
      * @param directoryReadMillis the time when the store was read for that list, on the store's clock in milliseconds
@@ -86,8 +86,8 @@
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RoutingState(
-            long configuration,
-            long directory,
+            long configurationVersion,
+            long directoryRevision,
             List<EndpointWork> work,
             long directoryHash,
             long directoryReadMillis,
@@ -155,14 +155,14 @@
      *
      * @param suspects the requests
      * @param cleared requests that were reported earlier and have been answered since
-     * @param scope the stage of propagation: from a member to its leader, between leaders, or from a leader to its
-     *     members
+     * @param scope the stage of propagation: from a member to its gatherer, between gatherers, or from a gatherer to
+     *     its members
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record SuspectRequests(
             List<SuspectRequest> suspects,
-            List<RequestName> cleared,
+            List<RequestDigests> cleared,
             @JsonFormat(shape = JsonFormat.Shape.NUMBER) WorkScope scope)
             implements RoutingMessage {
         /** Rejects a message that lacks a component. */
@@ -182,7 +182,7 @@
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record RequestName(long workspace, long target, long body) {}
+    record RequestDigests(long workspace, long target, long body) {}
 
     /**
      * A request during which endpoints have ended.
@@ -194,7 +194,7 @@
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record SuspectRequest(RequestName request, List<EndedEndpoint> ends, long triedMillisAgo) {
+    record SuspectRequest(RequestDigests request, List<EndedEndpoint> ends, long triedMillisAgo) {
         /** Rejects a message that lacks a component. */
         public SuspectRequest {
             Objects.requireNonNull(request, "request");
@@ -207,22 +207,22 @@
      *
      * @param endpointHash the hash of the endpoint's id
      * @param ageMillis the time since the endpoint ended, in milliseconds
-     * @param atWorkMillis the time between sending the request to the endpoint and the endpoint's end, in milliseconds
+     * @param inProgressMillis the time between sending the request to the endpoint and the endpoint's end, in milliseconds
      * @since 0.5.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record EndedEndpoint(long endpointHash, long ageMillis, long atWorkMillis) {}
+    record EndedEndpoint(long endpointHash, long ageMillis, long inProgressMillis) {}
 
     /**
      * Requests a document from the receiver; {@link Document} is the response.
      *
      * @param name the name of the document
-     * @param unpacks whether the sender can decode packed documents
+     * @param acceptsPacked whether the sender can decode packed documents
      * @param baseHash the hash of the version that the sender has; empty if the sender has none
      * @since 0.2.0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record DocumentWanted(String name, boolean unpacks, String baseHash) implements RoutingMessage {
+    record DocumentWanted(String name, boolean acceptsPacked, String baseHash) implements RoutingMessage {
         /** Rejects a message that lacks the name; earlier releases send nothing else. */
         @SuppressWarnings("NullAway") // the decoder passes null for components that a message lacks
         public DocumentWanted {
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerChannel.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerChannel.java
@@ -204,7 +204,7 @@
     }
 
     private void accept(Envelope envelope) {
-        if (envelope.answer()) {
+        if (envelope.response()) {
             Sinks.One<PeerMessage> response = pendingResponses.remove(-envelope.id());
             if (response != null) {
                 response.tryEmitValue(envelope.message());
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerLinks.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerLinks.java
@@ -32,5 +32,5 @@
      *
      * @param peerId the id of the peer
      */
-    void drop(String peerId);
+    void closeLink(String peerId);
 }
--- a/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerNode.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/transport/PeerNode.java
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void drop(String peerId) {
+    public void closeLink(String peerId) {
         Link link = links.remove(peerId);
         if (link != null) {
             link.close();
@@ -106,7 +106,7 @@
      *
      * @param keep tells whether the peer with a given id is listed
      */
-    public void retain(java.util.function.Predicate<String> keep) {
+    public void retainLinks(java.util.function.Predicate<String> keep) {
         links.entrySet().removeIf(entry -> {
             if (keep.test(entry.getKey())) {
                 return false;
--- a/radishpass-peer/src/test/java/org/radishpass/peer/transport/PeerNodeTest.java
+++ b/radishpass-peer/src/test/java/org/radishpass/peer/transport/PeerNodeTest.java
@@ -107,7 +107,7 @@
     void aPeerThatRedialsIsNotReportedAsDisconnected() throws InterruptedException {
         exchangeRequests();
 
-        one.drop("two");
+        one.closeLink("two");
         one.request(vm("two", two), new PeerMessage.ChangesWanted(3), TIMEOUT).block();
         two.request(vm("one", one), new PeerMessage.ChangesWanted(3), TIMEOUT).block();
         assertThat(disconnectedFromOne).isEmpty();
--- a/radishpass-router/src/main/java/org/radishpass/router/Router.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/Router.java
@@ -10,8 +10,8 @@
 import org.radishpass.router.internal.control.RouterControl;
 import org.radishpass.router.internal.traffic.RouterTraffic;
 import org.radishpass.runtime.http.HttpRuntime;
-import org.radishpass.runtime.metrics.ControlCpu;
 import org.radishpass.runtime.metrics.CountingHandler;
+import org.radishpass.runtime.metrics.ProcessMetrics;
 import org.radishpass.runtime.metrics.TrafficMeter;
 import org.radishpass.runtime.settings.PortsFile;
 import org.radishpass.tables.configuration.ConfigurationStore;
@@ -50,12 +50,12 @@
     public Router(RouterSettings settings, Clock clock) throws IOException {
         this.settings = settings;
         this.runtime = new HttpRuntime("router", settings.workers());
-        this.controlRuntime = new HttpRuntime(ControlCpu.THREAD_PREFIX + "-io", 1);
+        this.controlRuntime = new HttpRuntime(ProcessMetrics.THREAD_PREFIX + "-io", 1);
         String incarnation = Long.toString(clock.millis(), Character.MAX_RADIX);
         PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-        ControlCpu.register(metrics);
+        ProcessMetrics.register(metrics);
         TrafficMeter meter = new TrafficMeter(metrics);
-        HttpClient platform = CountingHandler.counted(controlRuntime.client(), PLATFORM_TRAFFIC_KIND, meter);
+        HttpClient platform = CountingHandler.countingClient(controlRuntime.client(), PLATFORM_TRAFFIC_KIND, meter);
         HttpTableService tables = new HttpTableService(platform, settings.platform(), PLATFORM_TIMEOUT);
         this.control = new RouterControl(
                 settings,
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/ConfigurationTracker.java
@@ -31,7 +31,7 @@
     private static final int MAX_RECENT_CHANGES = 1_000;
     private static final Duration PEER_TIMEOUT = Duration.ofSeconds(2);
 
-    private final ControlThread control;
+    private final ControlThread controlThread;
     private final ConfigurationStore store;
     private final PeerNode peers;
     private final ChangeListener listener;
@@ -44,19 +44,19 @@
     /**
      * Creates a tracker.
      *
-     * @param control the control thread
+     * @param controlThread the control thread
      * @param store the configuration store
      * @param peers the links to peers
      * @param metrics the registry that publishes the active revision
      * @param listener called after a newer revision becomes active, and when the revision is first known
      */
     public ConfigurationTracker(
-            ControlThread control,
+            ControlThread controlThread,
             ConfigurationStore store,
             PeerNode peers,
             MeterRegistry metrics,
             ChangeListener listener) {
-        this.control = control;
+        this.controlThread = controlThread;
         this.store = store;
         this.peers = peers;
         this.listener = listener;
@@ -77,8 +77,8 @@
 
     /** Requests the store's current revision and fetches the configuration if that revision is newer. */
     public void poll() {
-        store.head()
-                .publishOn(control.scheduler())
+        store.headRevision()
+                .publishOn(controlThread.scheduler())
                 .subscribe(
                         this::onStoreRevision,
                         error -> LOG.debug(
@@ -143,17 +143,17 @@
 
     private void fetchFromStore(Runnable onFailure) {
         if (current.revision() == 0) {
-            store.snapshot().publishOn(control.scheduler()).subscribe(this::replace, error -> onFailure.run());
+            store.snapshot().publishOn(controlThread.scheduler()).subscribe(this::replace, error -> onFailure.run());
             return;
         }
         store.changesAfter(current.revision())
-                .publishOn(control.scheduler())
+                .publishOn(controlThread.scheduler())
                 .subscribe(this::applyChanges, error -> onFailure.run());
     }
 
     private void fetchFromPeer(Vm peer) {
         peers.request(peer, new PeerMessage.ChangesWanted(current.revision()), PEER_TIMEOUT)
-                .publishOn(control.scheduler())
+                .publishOn(controlThread.scheduler())
                 .subscribe(
                         reply -> {
                             if (reply instanceof PeerMessage.Changes changes) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointProbe.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointProbe.java
@@ -33,7 +33,7 @@
      * @param meter counts the bytes of probe traffic
      */
     public EndpointProbe(HttpClient client, TrafficMeter meter) {
-        this.client = CountingHandler.counted(client, TRAFFIC_KIND, meter);
+        this.client = CountingHandler.countingClient(client, TRAFFIC_KIND, meter);
     }
 
     /**
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointReporting.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/EndpointReporting.java
@@ -17,16 +17,16 @@
 final class EndpointReporting {
     private final String selfId;
     private final PeerNode peers;
-    private final SlotOwner slots;
-    private final FleetTracker fleet;
+    private final SlotOwner slotOwner;
+    private final FleetTracker fleetTracker;
     private final Map<String, EndpointReport> lastSent = new HashMap<>();
     private final ConcurrentHashMap<String, Integer> lastLoads = new ConcurrentHashMap<>();
 
-    EndpointReporting(String selfId, PeerNode peers, SlotOwner slots, FleetTracker fleet) {
+    EndpointReporting(String selfId, PeerNode peers, SlotOwner slotOwner, FleetTracker fleetTracker) {
         this.selfId = selfId;
         this.peers = peers;
-        this.slots = slots;
-        this.fleet = fleet;
+        this.slotOwner = slotOwner;
+        this.fleetTracker = fleetTracker;
     }
 
     /** Returns the load that an endpoint last reported, or 0 if it has not reported yet. Safe to call on any thread. */
@@ -37,12 +37,12 @@
     /** Handles the result of a probe and sends it to all peers if an endpoint that this router owns has changed. */
     void onProbeResult(EndpointReport report, Collection<Vm> vms) {
         lastLoads.put(report.endpointId(), report.running());
-        slots.onReport(report);
-        if (!slots.book().ownedIds().contains(report.endpointId())) {
+        slotOwner.onReport(report);
+        if (!slotOwner.accounts().ownedIds().contains(report.endpointId())) {
             return;
         }
         EndpointReport previous = lastSent.get(report.endpointId());
-        if (previous == null || !report.sameStanding(previous)) {
+        if (previous == null || !report.sameIncarnationStateAndPools(previous)) {
             lastSent.put(report.endpointId(), report);
             otherRouters(vms).forEach(vm -> peers.send(vm, ReportMessages.toMessage(List.of(report))));
         }
@@ -50,7 +50,8 @@
 
     /** Sends the last reports of all endpoints that this router owns to a peer. */
     void sendOwnedTo(Vm peer) {
-        List<EndpointReport> reports = fleet.lastReports(slots.book().ownedIds());
+        List<EndpointReport> reports =
+                fleetTracker.lastReports(slotOwner.accounts().ownedIds());
         if (!reports.isEmpty()) {
             peers.send(peer, ReportMessages.toMessage(reports));
         }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/FleetTracker.java
@@ -28,7 +28,7 @@
 
     private final FleetDirectory directory = new FleetDirectory();
     private final Map<String, Integer> failuresById = new HashMap<>();
-    private final ControlThread control;
+    private final ControlThread controlThread;
     private final EndpointProbe probe;
     private final Clock clock;
     private final Consumer<EndpointReport> reportListener;
@@ -38,19 +38,19 @@
     /**
      * Creates a tracker.
      *
-     * @param control the control thread
+     * @param controlThread the control thread
      * @param probe requests the status of endpoints
      * @param clock the source of the current time
      * @param reportListener receives each report that this router's own probes produce
      * @param changeListener runs after the view of the fleet may have changed
      */
     public FleetTracker(
-            ControlThread control,
+            ControlThread controlThread,
             EndpointProbe probe,
             Clock clock,
             Consumer<EndpointReport> reportListener,
             Runnable changeListener) {
-        this.control = control;
+        this.controlThread = controlThread;
         this.probe = probe;
         this.clock = clock;
         this.reportListener = reportListener;
@@ -75,7 +75,7 @@
     public void update(Collection<VmListing> listings) {
         boolean first = !listReceived && !listings.isEmpty();
         listReceived |= first;
-        if (directory.listed(listings, clock.instant()) || first) {
+        if (directory.applyVmList(listings, clock.instant()) || first) {
             changeListener.run();
         }
     }
@@ -86,7 +86,7 @@
      * @param report the endpoint's report
      */
     public void update(EndpointReport report) {
-        if (directory.reported(report, clock.instant())) {
+        if (directory.applyReport(report, clock.instant())) {
             changeListener.run();
         }
     }
@@ -94,10 +94,10 @@
     /**
      * Marks a machine as leaving.
      *
-     * @param id the machine's ID
+     * @param id the machine's id
      */
     public void markLeaving(String id) {
-        directory.left(id);
+        directory.markLeaving(id);
         changeListener.run();
     }
 
@@ -109,7 +109,7 @@
     public void probe(Collection<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
             probe.probe(endpoint)
-                    .publishOn(control.scheduler())
+                    .publishOn(controlThread.scheduler())
                     .subscribe(this::onProbeAnswer, error -> onProbeFailure(endpoint));
         }
     }
@@ -117,7 +117,7 @@
     /**
      * Returns the last report of each given endpoint that has reported.
      *
-     * @param endpointIds the IDs of the endpoints
+     * @param endpointIds the ids of the endpoints
      */
     public List<EndpointReport> lastReports(Set<String> endpointIds) {
         List<EndpointReport> reports = new ArrayList<>();
@@ -127,7 +127,7 @@
 
     private void onProbeAnswer(EndpointReport report) {
         failuresById.remove(report.endpointId());
-        boolean directoryChanged = directory.reported(report, clock.instant());
+        boolean directoryChanged = directory.applyReport(report, clock.instant());
         reportListener.accept(report);
         if (directoryChanged) {
             changeListener.run();
@@ -148,7 +148,7 @@
                     last.pools(),
                     last.running(),
                     last.capacity());
-            if (last.state() != EndpointState.SUSPECT && directory.reported(suspect, clock.instant())) {
+            if (last.state() != EndpointState.SUSPECT && directory.applyReport(suspect, clock.instant())) {
                 reportListener.accept(suspect);
                 changeListener.run();
             }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/NewPeerNotifier.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/NewPeerNotifier.java
@@ -11,13 +11,13 @@
 final class NewPeerNotifier {
     private final String selfId;
     private final PeerNode peers;
-    private final ConfigurationTracker configuration;
+    private final ConfigurationTracker configurationTracker;
     private final Set<String> notifiedIds = new HashSet<>();
 
-    NewPeerNotifier(String selfId, PeerNode peers, ConfigurationTracker configuration) {
+    NewPeerNotifier(String selfId, PeerNode peers, ConfigurationTracker configurationTracker) {
         this.selfId = selfId;
         this.peers = peers;
-        this.configuration = configuration;
+        this.configurationTracker = configurationTracker;
     }
 
     /** Sends the revision to every peer that was not in the previous view of the fleet. */
@@ -25,7 +25,8 @@
         notifiedIds.retainAll(view.vms().stream().map(Vm::id).toList());
         for (Vm vm : view.vms()) {
             if (!vm.id().equals(selfId) && notifiedIds.add(vm.id())) {
-                peers.send(vm, new PeerMessage.Head(configuration.current().revision()));
+                peers.send(
+                        vm, new PeerMessage.Head(configurationTracker.current().revision()));
             }
         }
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterControl.java
@@ -38,11 +38,11 @@
 
     private final RouterSettings settings;
     private final String incarnation;
-    private final ControlThread control = new ControlThread("control");
+    private final ControlThread controlThread = new ControlThread("control");
     private final PeerNode peers;
-    private final ConfigurationTracker configuration;
-    private final FleetTracker fleet;
-    private final SlotOwner slots;
+    private final ConfigurationTracker configurationTracker;
+    private final FleetTracker fleetTracker;
+    private final SlotOwner slotOwner;
     private final VmListClient vmList;
     private final EndpointReporting reporting;
     private final NewPeerNotifier newPeers;
@@ -56,7 +56,7 @@
      * Creates the control state and begins to listen for peers.
      *
      * @param settings the router's settings
-     * @param incarnation the ID of this start of the router
+     * @param incarnation the id of this start of the router
      * @param runtime the event loops and HTTP client for control traffic
      * @param store the configuration store
      * @param vmList the client of the platform's VM list
@@ -82,23 +82,28 @@
                 this,
                 meter,
                 this::hello);
-        this.configuration = new ConfigurationTracker(control, store, peers, metrics, this::onConfigurationChange);
-        this.newPeers = new NewPeerNotifier(settings.id(), peers, configuration);
-        this.slots = new SlotOwner(settings.id(), control, peers, clock);
-        this.fleet = new FleetTracker(
-                control, new EndpointProbe(runtime.client(), meter), clock, this::onProbeResult, this::updateFleet);
-        this.reporting = new EndpointReporting(settings.id(), peers, slots, fleet);
+        this.configurationTracker =
+                new ConfigurationTracker(controlThread, store, peers, metrics, this::onConfigurationChange);
+        this.newPeers = new NewPeerNotifier(settings.id(), peers, configurationTracker);
+        this.slotOwner = new SlotOwner(settings.id(), controlThread, peers, clock);
+        this.fleetTracker = new FleetTracker(
+                controlThread,
+                new EndpointProbe(runtime.client(), meter),
+                clock,
+                this::onProbeResult,
+                this::updateFleet);
+        this.reporting = new EndpointReporting(settings.id(), peers, slotOwner, fleetTracker);
     }
 
     /** Starts the periodic tasks: polls, probes, exchange of pool loads and refresh of reports. */
     public void start() {
-        control.run(this::pollList);
-        control.run(configuration::poll);
-        control.every(Duration.ofMillis(settings.listPollMillis()), this::pollList);
-        control.every(Duration.ofMillis(settings.headPollMillis()), configuration::poll);
-        control.every(Duration.ofMillis(settings.probeMillis()), this::probeEndpoints);
-        control.every(POOL_EXCHANGE_PERIOD, () -> slots.exchange(snapshot.fleet()));
-        control.every(
+        controlThread.run(this::pollList);
+        controlThread.run(configurationTracker::poll);
+        controlThread.schedulePeriodically(Duration.ofMillis(settings.listPollMillis()), this::pollList);
+        controlThread.schedulePeriodically(Duration.ofMillis(settings.headPollMillis()), configurationTracker::poll);
+        controlThread.schedulePeriodically(Duration.ofMillis(settings.probeMillis()), this::probeEndpoints);
+        controlThread.schedulePeriodically(POOL_EXCHANGE_PERIOD, () -> slotOwner.exchange(snapshot.fleet()));
+        controlThread.schedulePeriodically(
                 REPORT_REFRESH_PERIOD,
                 () -> reporting.sendOwnedToRandomPeer(snapshot.fleet().vms()));
     }
@@ -111,7 +116,7 @@
     /**
      * Returns the load that an endpoint last reported to this router, or 0 if it has not reported yet.
      *
-     * @param endpointId the endpoint's ID
+     * @param endpointId the endpoint's id
      */
     public int reportedLoad(String endpointId) {
         return reporting.lastLoad(endpointId);
@@ -123,16 +128,16 @@
     }
 
     /** Returns the control thread. */
-    public ControlThread thread() {
-        return control;
+    public ControlThread controlThread() {
+        return controlThread;
     }
 
-    /** Returns this router's ID. */
+    /** Returns this router's id. */
     public String id() {
         return settings.id();
     }
 
-    /** Returns the ID of this start of the router, which is different after each restart. */
+    /** Returns the id of this start of the router, which is different after each restart. */
     public String incarnation() {
         return incarnation;
     }
@@ -143,7 +148,7 @@
      * @param wanted the requested slot
      */
     public Mono<PeerMessage> reserveLocally(PeerMessage.SlotWanted wanted) {
-        return control.call(() -> slots.reserve(settings.id(), wanted));
+        return controlThread.call(() -> slotOwner.reserve(settings.id(), wanted));
     }
 
     /**
@@ -152,7 +157,7 @@
      * @param freed the slot
      */
     public void releaseLocally(PeerMessage.SlotFreed freed) {
-        control.run(() -> slots.release(settings.id(), freed));
+        controlThread.run(() -> slotOwner.release(settings.id(), freed));
     }
 
     /**
@@ -161,7 +166,7 @@
      * @param held the slot
      */
     public void adoptLocally(PeerMessage.SlotHeld held) {
-        control.run(() -> slots.adopt(settings.id(), held));
+        controlThread.run(() -> slotOwner.adopt(settings.id(), held));
     }
 
     /**
@@ -184,7 +189,7 @@
 
     /** Marks this router as not ready and notifies all peers that it is leaving. */
     public void announceLeaving() {
-        control.run(() -> {
+        controlThread.run(() -> {
             stopping = true;
             broadcast(new PeerMessage.Leaving(settings.id()));
             publish();
@@ -196,14 +201,14 @@
         if (message instanceof PeerMessage.TicketRun run) {
             return ticketHandler.apply(run);
         }
-        return control.call(() -> handleOnControlThread(from, message));
+        return controlThread.call(() -> handleOnControlThread(from, message));
     }
 
     @Override
     public void disconnected(String from) {
-        control.after(DISCONNECT_GRACE, () -> {
+        controlThread.scheduleAfter(DISCONNECT_GRACE, () -> {
             if (snapshot.fleet().vm(from).isEmpty()) {
-                slots.book().releaseAllOf(from);
+                slotOwner.accounts().releaseAllOf(from);
             }
         });
     }
@@ -211,18 +216,18 @@
     @Override
     public void close() {
         peers.close();
-        control.close();
+        controlThread.close();
     }
 
     private PeerMessage handleOnControlThread(String from, PeerMessage message) {
         if (message instanceof PeerMessage.SlotWanted wanted) {
-            return slots.reserve(from, wanted);
+            return slotOwner.reserve(from, wanted);
         }
         if (message instanceof PeerMessage.PoolParts parts) {
-            return slots.addParts(from, parts);
+            return slotOwner.addParts(from, parts);
         }
         if (message instanceof PeerMessage.ChangesWanted wanted) {
-            return configuration.changesAfter(wanted.after());
+            return configurationTracker.changesAfter(wanted.after());
         }
         handleNotification(from, message);
         return new PeerMessage.Done();
@@ -231,44 +236,44 @@
     private void handleNotification(String from, PeerMessage message) {
         Optional<Vm> sender = snapshot.fleet().vm(from);
         if (message instanceof PeerMessage.SlotFreed freed) {
-            slots.release(from, freed);
+            slotOwner.release(from, freed);
         } else if (message instanceof PeerMessage.SlotHeld held) {
-            slots.adopt(from, held);
+            slotOwner.adopt(from, held);
         } else if (message instanceof PeerMessage.Head head) {
-            configuration.onPeerRevision(sender, head.revision());
+            configurationTracker.onPeerRevision(sender, head.revision());
         } else if (message instanceof PeerMessage.Hello hello) {
             onHello(hello, sender);
         } else if (message instanceof PeerMessage.EndpointReports reports) {
-            reports.reports().forEach(report -> fleet.update(ReportMessages.decode(report)));
+            reports.reports().forEach(report -> fleetTracker.update(ReportMessages.decode(report)));
         } else if (message instanceof PeerMessage.Leaving leaving) {
             LOG.info("router {} announced that it is leaving and is marked as leaving", leaving.vmId());
-            fleet.markLeaving(leaving.vmId());
+            fleetTracker.markLeaving(leaving.vmId());
         } else {
             LOG.warn("ignored an unexpected message of kind {} from {}", message.kind(), from);
         }
     }
 
     private void onHello(PeerMessage.Hello hello, Optional<Vm> sender) {
-        configuration.onPeerRevision(sender, hello.revision());
+        configurationTracker.onPeerRevision(sender, hello.revision());
         sender.ifPresent(reporting::sendOwnedTo);
     }
 
     private PeerMessage hello() {
         return new PeerMessage.Hello(
-                settings.id(), incarnation, configuration.current().revision());
+                settings.id(), incarnation, configurationTracker.current().revision());
     }
 
     private void pollList() {
         vmList.list()
-                .publishOn(control.scheduler())
+                .publishOn(controlThread.scheduler())
                 .subscribe(
-                        fleet::update,
+                        fleetTracker::update,
                         error -> LOG.debug("cannot read the VM list; the next poll retries: {}", error.getMessage()));
     }
 
     private void probeEndpoints() {
-        boolean probeAll = configuration.current().policy().needsReports();
-        fleet.probe(probeAll ? snapshot.fleet().endpoints() : slots.owned());
+        boolean probeAll = configurationTracker.current().policy().needsReports();
+        fleetTracker.probe(probeAll ? snapshot.fleet().endpoints() : slotOwner.owned());
     }
 
     private void onProbeResult(EndpointReport report) {
@@ -278,16 +283,16 @@
     private void onConfigurationChange(boolean fromStore) {
         publish();
         if (fromStore) {
-            broadcast(new PeerMessage.Head(configuration.current().revision()));
+            broadcast(new PeerMessage.Head(configurationTracker.current().revision()));
         }
     }
 
     private void updateFleet() {
-        FleetView view = fleet.view();
-        Map<String, Vm> owners = OwnerSelection.ofAll(view.endpoints(), view.vms());
-        slots.updateOwnership(view, owners);
+        FleetView view = fleetTracker.view();
+        Map<String, Vm> owners = OwnerSelection.endpointOwners(view.endpoints(), view.vms());
+        slotOwner.updateOwnership(view, owners);
         publish(view, owners);
-        peers.retain(id -> view.vm(id).isPresent());
+        peers.retainLinks(id -> view.vm(id).isPresent());
         newPeers.notifyNewPeers(view);
         fleetListeners.forEach(Runnable::run);
     }
@@ -297,8 +302,8 @@
     }
 
     private void publish(FleetView view, Map<String, Vm> owners) {
-        boolean ready = !stopping && configuration.revisionKnown() && fleet.listReceived();
-        snapshot = new RouterSnapshot(view, owners, configuration.current(), ready);
+        boolean ready = !stopping && configurationTracker.revisionKnown() && fleetTracker.listReceived();
+        snapshot = new RouterSnapshot(view, owners, configurationTracker.current(), ready);
     }
 
     private void broadcast(PeerMessage message) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterSnapshot.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/RouterSnapshot.java
@@ -11,7 +11,7 @@
  * Immutable control state that the control thread publishes; each request reads one snapshot.
  *
  * @param fleet the routers and endpoints
- * @param owners the router that keeps each endpoint's slot account, by the endpoint's ID
+ * @param owners the router that keeps each endpoint's slot account, by the endpoint's id
  * @param configuration the active configuration
  * @param ready whether this router is ready to serve callers
  * @since 0.1.0
@@ -31,7 +31,7 @@
     /**
      * Returns the router that keeps an endpoint's slot account.
      *
-     * @param endpointId the endpoint's ID
+     * @param endpointId the endpoint's id
      */
     public Optional<Vm> owner(String endpointId) {
         return Optional.ofNullable(owners.get(endpointId));
@@ -47,11 +47,11 @@
      */
     public Optional<String> poolFor(String modelName) {
         return configuration.poolOf(modelName).map(configured -> {
-            if (!fleet.open(configured).isEmpty()) {
+            if (!fleet.acceptingEndpoints(configured).isEmpty()) {
                 return configured;
             }
             String prefix = configured.substring(0, configured.lastIndexOf('@') + 1);
-            return fleet.openPools().stream()
+            return fleet.acceptingPools().stream()
                     .filter(pool -> pool.startsWith(prefix))
                     .max(Comparator.naturalOrder())
                     .orElse(configured);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/control/SlotOwner.java
@@ -14,11 +14,11 @@
 import org.radishpass.core.fleet.FleetView;
 import org.radishpass.core.fleet.Vm;
 import org.radishpass.core.load.LoadBound;
+import org.radishpass.core.load.OwnedSlotAccounts;
 import org.radishpass.core.load.OwnerSelection;
-import org.radishpass.core.load.PoolLedger;
 import org.radishpass.core.load.PoolLoad;
+import org.radishpass.core.load.PoolLoadAggregator;
 import org.radishpass.core.load.SlotAnswer;
-import org.radishpass.core.load.SlotBook;
 import org.radishpass.core.load.SlotId;
 import org.radishpass.core.load.SlotRequest;
 import org.radishpass.core.membership.EndpointReport;
@@ -41,11 +41,11 @@
     private static final Duration PART_LIFETIME = Duration.ofSeconds(3);
     private static final Duration UNCHANGED_RESEND_PERIOD = Duration.ofSeconds(1);
 
-    private final SlotBook book = new SlotBook();
-    private final PoolLedger poolLedger = new PoolLedger();
+    private final OwnedSlotAccounts accounts = new OwnedSlotAccounts();
+    private final PoolLoadAggregator poolLoads = new PoolLoadAggregator();
     private final Map<String, PoolLoad> lastSentParts = new HashMap<>();
     private final String selfId;
-    private final ControlThread control;
+    private final ControlThread controlThread;
     private final PeerNode peers;
     private final Clock clock;
     private Instant resendAt = Instant.MIN;
@@ -54,14 +54,14 @@
     /**
      * Creates an owner without endpoints.
      *
-     * @param selfId the ID of this router
-     * @param control the control thread
+     * @param selfId the id of this router
+     * @param controlThread the control thread
      * @param peers the links to peers
      * @param clock the source of the current time
      */
-    public SlotOwner(String selfId, ControlThread control, PeerNode peers, Clock clock) {
+    public SlotOwner(String selfId, ControlThread controlThread, PeerNode peers, Clock clock) {
         this.selfId = selfId;
-        this.control = control;
+        this.controlThread = controlThread;
         this.peers = peers;
         this.clock = clock;
     }
@@ -72,15 +72,15 @@
     }
 
     /** Returns the slot accounts of the owned endpoints. */
-    public SlotBook book() {
-        return book;
+    public OwnedSlotAccounts accounts() {
+        return accounts;
     }
 
     /**
      * Recomputes which endpoints this router owns.
      *
      * @param fleet the current view of the fleet
-     * @param owners the owner of each endpoint, by the endpoint's ID
+     * @param owners the owner of each endpoint, by the endpoint's id
      */
     public void updateOwnership(FleetView fleet, Map<String, Vm> owners) {
         owned = fleet.endpoints().stream()
@@ -89,35 +89,38 @@
                     return owner != null && owner.id().equals(selfId);
                 })
                 .toList();
-        book.own(owned);
+        accounts.setOwnedEndpoints(owned);
     }
 
     /**
      * Grants or denies a slot at an owned endpoint.
      *
-     * @param holder the ID of the requesting router
+     * @param holder the id of the requesting router
      * @param wanted the requested slot
      */
     public PeerMessage.SlotReply reserve(String holder, PeerMessage.SlotWanted wanted) {
         Instant now = clock.instant();
         LoadBound bound = new LoadBound(wanted.bound());
         SlotRequest request = new SlotRequest(
-                new SlotId(holder, wanted.slotId()), wanted.priority(), bound, now.plusMillis(wanted.leftMillis()));
-        SlotAnswer answer = book.reserve(wanted.endpointId(), wanted.pool(), request, now);
-        int limit = bound.limit(book.poolLoad(wanted.pool(), now), 1);
-        return new PeerMessage.SlotReply(answer, book.running(wanted.endpointId()), limit);
+                new SlotId(holder, wanted.slotId()),
+                wanted.priority(),
+                bound,
+                now.plusMillis(wanted.remainingMillis()));
+        SlotAnswer answer = accounts.reserve(wanted.endpointId(), wanted.pool(), request, now);
+        int limit = bound.limit(accounts.poolLoad(wanted.pool(), now), 1);
+        return new PeerMessage.SlotReply(answer, accounts.running(wanted.endpointId()), limit);
     }
 
     /**
      * Adds a slot that was granted by the endpoint's previous owner to the accounts.
      *
-     * @param holder the ID of the router that holds the slot
+     * @param holder the id of the router that holds the slot
      * @param held the slot
      */
     public void adopt(String holder, PeerMessage.SlotHeld held) {
         PriorityClass priority = held.priority();
-        Instant deadline = clock.instant().plusMillis(held.leftMillis());
-        book.adopt(
+        Instant deadline = clock.instant().plusMillis(held.remainingMillis());
+        accounts.adopt(
                 held.endpointId(),
                 new SlotRequest(new SlotId(holder, held.slotId()), priority, LoadBound.DEFAULT, deadline));
     }
@@ -125,11 +128,11 @@
     /**
      * Releases a slot.
      *
-     * @param holder the ID of the router that held the slot
+     * @param holder the id of the router that held the slot
      * @param freed the slot
      */
     public void release(String holder, PeerMessage.SlotFreed freed) {
-        book.release(freed.endpointId(), new SlotId(holder, freed.slotId()));
+        accounts.release(freed.endpointId(), new SlotId(holder, freed.slotId()));
     }
 
     /**
@@ -138,21 +141,21 @@
      * @param report the endpoint's report
      */
     public void onReport(EndpointReport report) {
-        book.report(report.endpointId(), report.running(), report.capacity());
+        accounts.report(report.endpointId(), report.running(), report.capacity());
     }
 
     /**
      * Records an owner's partial pool loads and returns the total load of each of these pools.
      *
-     * @param owner the ID of the router that sent the parts
+     * @param owner the id of the router that sent the parts
      * @param parts the partial loads of that router's endpoints, by pool
      */
     public PeerMessage.PoolTotals addParts(String owner, PeerMessage.PoolParts parts) {
         Instant now = clock.instant();
         List<PeerMessage.PoolSum> totals = new ArrayList<>();
         for (PeerMessage.PoolSum part : parts.parts()) {
-            poolLedger.report(part.pool(), owner, new PoolLoad(part.running(), part.weight()), now.plus(PART_LIFETIME));
-            PoolLoad total = poolLedger.total(part.pool(), now);
+            poolLoads.report(part.pool(), owner, new PoolLoad(part.running(), part.weight()), now.plus(PART_LIFETIME));
+            PoolLoad total = poolLoads.total(part.pool(), now);
             totals.add(sum(part.pool(), total));
         }
         return new PeerMessage.PoolTotals(totals);
@@ -167,8 +170,8 @@
      */
     public void exchange(FleetView fleet) {
         Instant now = clock.instant();
-        book.expire(now);
-        Map<String, PoolLoad> parts = book.parts();
+        accounts.expire(now);
+        Map<String, PoolLoad> parts = accounts.ownedLoadByPool();
         boolean resendUnchanged = !now.isBefore(resendAt);
         if (resendUnchanged) {
             resendAt = now.plus(UNCHANGED_RESEND_PERIOD);
@@ -178,7 +181,7 @@
             if (!resendUnchanged && part.equals(lastSentParts.get(pool))) {
                 return;
             }
-            Optional<Vm> coordinator = OwnerSelection.ofPool(pool, fleet.vms());
+            Optional<Vm> coordinator = OwnerSelection.poolOwner(pool, fleet.vms());
             coordinator.ifPresent(vm ->
                     byCoordinator.computeIfAbsent(vm, key -> new ArrayList<>()).add(sum(pool, part)));
         });
@@ -197,7 +200,7 @@
             return;
         }
         peers.request(coordinator, parts, EXCHANGE_TIMEOUT)
-                .publishOn(control.scheduler())
+                .publishOn(controlThread.scheduler())
                 .subscribe(
                         reply -> {
                             if (reply instanceof PeerMessage.PoolTotals totals) {
@@ -212,7 +215,7 @@
         for (int i = 0; i < Math.min(parts.parts().size(), totals.totals().size()); i++) {
             PeerMessage.PoolSum part = parts.parts().get(i);
             PeerMessage.PoolSum total = totals.totals().get(i);
-            book.total(
+            accounts.recordPoolLoad(
                     part.pool(),
                     new PoolLoad(total.running(), total.weight()),
                     new PoolLoad(part.running(), part.weight()),
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/Attempt.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/Attempt.java
@@ -8,7 +8,7 @@
 /**
  * One attempt to execute a request at an endpoint.
  *
- * @param requestId the request's ID
+ * @param requestId the request's id
  * @param number the number of this attempt within the request, from 1
  * @param endpoint the endpoint that receives the request
  * @param method the HTTP method
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/EndpointClient.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/EndpointClient.java
@@ -19,7 +19,7 @@
 /**
  * Sends attempts to endpoints and validates the responses.
  *
- * <p>A response is accepted only if its headers return the request's ID and the attempt's number. Every failure is an
+ * <p>A response is accepted only if its headers return the request's id and the attempt's number. Every failure is an
  * {@link AttemptFailure}. Its verdict is {@code NOT_RUN} only if no part of the request was written to the socket, or
  * if the endpoint's response states that the request did not run.
  *
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/HeaderNames.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/endpoint/HeaderNames.java
@@ -6,7 +6,7 @@
  * @since 0.1.0
  */
 public final class HeaderNames {
-    /** The ID of the request. Endpoints must return this header in the response. */
+    /** The id of the request. Endpoints must return this header in the response. */
     public static final String REQUEST_ID = "X-Request-Id";
 
     /** The number of the attempt within the request. Endpoints must return this header in the response. */
@@ -24,7 +24,7 @@
     /** The number of the first token that a resumed stream must send. */
     public static final String RESUME_FROM = "X-Resume-From";
 
-    /** The ID of the chat that the request belongs to. */
+    /** The id of the chat that the request belongs to. */
     public static final String CHAT_ID = "X-Chat-Id";
 
     /** The key that identifies a non-idempotent request, so that the request runs at most once. */
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerAuthenticator.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerAuthenticator.java
@@ -68,7 +68,7 @@
                 snapshot);
     }
 
-    /** Returns a new request ID, unique in the fleet. */
+    /** Returns a new request id, unique in the fleet. */
     public String nextRequestId() {
         return control.id() + '-' + control.incarnation() + '-' + lastRequestNumber.incrementAndGet();
     }
@@ -98,7 +98,7 @@
     @SuppressWarnings("PMD.PreserveStackTrace") // a refusal is a response to the caller, so no stack trace is needed
     private static Instant deadline(@Nullable String header, PriorityClass priority, Instant now) {
         if (header == null) {
-            return now.plus(priority.patience());
+            return now.plus(priority.defaultTimeout());
         }
         try {
             long millis = Long.parseLong(header.trim());
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerRequest.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerRequest.java
@@ -8,7 +8,7 @@
 /**
  * Properties common to all authenticated requests of callers.
  *
- * @param id the request's ID, unique in the fleet
+ * @param id the request's id, unique in the fleet
  * @param workspace the workspace that sent the request
  * @param priority the request's priority class
  * @param receivedAt the time when this router received the request
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/CallerServer.java
@@ -32,7 +32,7 @@
 
     private final TrafficComponents components;
     private final RouterControl control;
-    private final PrometheusMeterRegistry metrics;
+    private final PrometheusMeterRegistry registry;
     private final ChatHandler chats;
     private final ServiceHandler services;
     private final TicketService tickets;
@@ -46,10 +46,10 @@
             AtMostOnceGuard guard,
             TicketService tickets,
             RouterControl control,
-            PrometheusMeterRegistry metrics) {
+            PrometheusMeterRegistry registry) {
         this.components = components;
         this.control = control;
-        this.metrics = metrics;
+        this.registry = registry;
         this.chats = new ChatHandler(components);
         this.services = new ServiceHandler(components, guard, control);
         this.tickets = tickets;
@@ -86,7 +86,7 @@
             case "GET /healthz" -> HttpJson.send(response, OK, Map.of("status", "alive"));
             case "GET /readyz" -> readiness(response);
             case "GET /metrics" ->
-                response.header("Content-Type", PROMETHEUS_TYPE).sendString(Mono.fromCallable(metrics::scrape));
+                response.header("Content-Type", PROMETHEUS_TYPE).sendString(Mono.fromCallable(registry::scrape));
             case "GET /v1/status" -> HttpJson.send(response, OK, status());
             default -> routeByPrefix(path, request, response);
         };
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatHandler.java
@@ -46,8 +46,8 @@
                 .orElseThrow(() -> RefusedException.notRun(
                         RefusalCode.NOT_FOUND, "no record declares the model " + prompt.model()));
         if (!components
-                .gate()
-                .tryEnter(
+                .workspaceLimiter()
+                .tryAcquire(
                         workspace.name(),
                         workspace.inFlight(),
                         caller.snapshot().activeRouterCount())) {
@@ -71,7 +71,8 @@
         Publisher<Void> result = prompt.streamed()
                 ? respondWithStream(caller, run, decision, response)
                 : respondComplete(caller, run, decision, response);
-        return Mono.from(result).doFinally(signal -> components.gate().leave(workspace.name()));
+        return Mono.from(result)
+                .doFinally(signal -> components.workspaceLimiter().release(workspace.name()));
     }
 
     private Publisher<Void> respondWithStream(
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ChatPrompt.java
@@ -12,7 +12,7 @@
  *
  * @param model the model's name as the caller wrote it
  * @param streamed whether the caller requested a streamed response
- * @param chat the key that identifies the chat: the caller's chat ID or a hash of the first messages
+ * @param chat the key that identifies the chat: the caller's chat id or a hash of the first messages
  * @param affinity the affinity token that the caller received with the chat's last turn, or null
  * @since 0.1.0
  */
@@ -27,7 +27,7 @@
      * Parses the body of a chat request.
      *
      * @param body the body, as JSON
-     * @param chatId the caller's ID of the chat, or null
+     * @param chatId the caller's id of the chat, or null
      * @param affinity the affinity token that the caller received with the chat's last turn, or null
      * @throws RefusedException if the body is not a valid chat request
      */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns a hash of the first messages, which identifies a chat without a chat ID. Each later turn of the chat
+     * Returns a hash of the first messages, which identifies a chat without a chat id. Each later turn of the chat
      * repeats these messages.
      */
     private static String openingHash(JsonNode messages) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/DecisionLog.java
@@ -46,7 +46,7 @@
     /**
      * Returns the decisions for a request, or empty if the request is unknown or its decisions were discarded.
      *
-     * @param requestId the request's ID
+     * @param requestId the request's id
      */
     public Optional<Decision> find(String requestId) {
         synchronized (recentDecisions) {
@@ -100,7 +100,7 @@
          * Records that an attempt was sent.
          *
          * @param number the number of the attempt within the request, from 1
-         * @param endpointId the ID of the endpoint
+         * @param endpointId the id of the endpoint
          * @param at the time of the attempt
          */
         public synchronized void recordAttempt(int number, String endpointId, Instant at) {
@@ -110,7 +110,7 @@
         /**
          * Records that an attempt failed.
          *
-         * @param endpointId the ID of the endpoint
+         * @param endpointId the id of the endpoint
          * @param failure the failure
          */
         public synchronized void recordFailure(String endpointId, AttemptFailure failure) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PassiveHealth.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PassiveHealth.java
@@ -32,7 +32,7 @@
     /**
      * Records a failure at an endpoint, which is then avoided for a short time.
      *
-     * @param endpointId the ID of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public void recordFailure(String endpointId) {
         avoidUntil.put(endpointId, clock.instant().plus(AVOID_DURATION));
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlaceRequest.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlaceRequest.java
@@ -18,7 +18,7 @@
  * @param spread the number of endpoints over which the workspace's chats are spread, or 0 for all endpoints
  * @param maxQueued the maximum number of the workspace's requests that may wait at this router
  * @param deadline the time when the caller stops waiting
- * @param excluded the IDs of endpoints at which an attempt of this request has failed
+ * @param excluded the ids of endpoints at which an attempt of this request has failed
  * @since 0.1.0
  */
 public record PlaceRequest(
@@ -32,7 +32,7 @@
         int maxQueued,
         Instant deadline,
         Set<String> excluded) {
-    /** Makes an unmodifiable copy of the excluded IDs. */
+    /** Makes an unmodifiable copy of the excluded ids. */
     public PlaceRequest {
         excluded = Set.copyOf(excluded);
     }
@@ -40,7 +40,7 @@
     /**
      * Returns a copy of this request with other excluded endpoints.
      *
-     * @param newExcluded the IDs of endpoints at which an attempt of this request has failed
+     * @param newExcluded the ids of endpoints at which an attempt of this request has failed
      */
     public PlaceRequest withExcluded(Set<String> newExcluded) {
         return new PlaceRequest(
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlacementTrace.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/PlacementTrace.java
@@ -10,7 +10,7 @@
     /**
      * Called after each request for a slot.
      *
-     * @param endpointId the ID of the endpoint
+     * @param endpointId the id of the endpoint
      * @param result the result of the slot request
      */
     void onSlotResult(String endpointId, SlotResult result);
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Placer.java
@@ -30,7 +30,7 @@
     private final ConcurrentHashMap<String, AtomicInteger> waitingByWorkspace = new ConcurrentHashMap<>();
     private final RecentDenials denials;
     private final RouterControl control;
-    private final SlotClient slots;
+    private final SlotClient slotClient;
     private final PassiveHealth health;
     private final Clock clock;
 
@@ -38,13 +38,13 @@
      * Creates a placer.
      *
      * @param control the router's control state
-     * @param slots reserves and releases slots
+     * @param slotClient reserves and releases slots
      * @param health the endpoints at which requests recently failed
      * @param clock the source of the current time
      */
-    public Placer(RouterControl control, SlotClient slots, PassiveHealth health, Clock clock) {
+    public Placer(RouterControl control, SlotClient slotClient, PassiveHealth health, Clock clock) {
         this.control = control;
-        this.slots = slots;
+        this.slotClient = slotClient;
         this.health = health;
         this.clock = clock;
         this.denials = new RecentDenials(clock);
@@ -67,7 +67,7 @@
      * @param placement the placement
      */
     public void release(Placement placement) {
-        slots.release(placement.slotId(), placement.endpoint());
+        slotClient.release(placement.slotId(), placement.endpoint());
     }
 
     private Mono<Placement> placeOrRetry(PlaceRequest request, PlacementTrace trace, int pauseMillis) {
@@ -80,22 +80,22 @@
         }
         if (!policy.bounded()) {
             Endpoint first = ranked.get(0);
-            slots.startedWithoutSlot(first);
-            return Mono.just(new Placement(first, slots.nextSlotId()));
+            slotClient.startedWithoutSlot(first);
+            return Mono.just(new Placement(first, slotClient.nextSlotId()));
         }
         return tryFrom(0, ranked, request, trace)
                 .switchIfEmpty(Mono.defer(() -> retryLater(request, trace, pauseMillis)));
     }
 
     private List<Endpoint> rank(PlacementPolicy policy, PlaceRequest request, RouterSnapshot snapshot) {
-        List<Endpoint> open = health.withoutFailing(snapshot.fleet().open(request.pool()));
+        List<Endpoint> accepting = health.withoutFailing(snapshot.fleet().acceptingEndpoints(request.pool()));
         if (!request.excluded().isEmpty()) {
-            open = open.stream()
+            accepting = accepting.stream()
                     .filter(endpoint -> !request.excluded().contains(endpoint.id()))
                     .toList();
         }
         return policy.rank(new PlacementRequest(
-                open,
+                accepting,
                 request.workspace(),
                 request.chat(),
                 request.spread(),
@@ -111,8 +111,8 @@
             return Mono.empty();
         }
         Endpoint endpoint = ranked.get(index);
-        long slotId = slots.nextSlotId();
-        return slots.reserve(slotId, endpoint, request).flatMap(result -> {
+        long slotId = slotClient.nextSlotId();
+        return slotClient.reserve(slotId, endpoint, request).flatMap(result -> {
             trace.onSlotResult(endpoint.id(), result);
             if (result.allowsSending()) {
                 return Mono.just(new Placement(endpoint, slotId));
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RefusalWriter.java
@@ -49,7 +49,7 @@
      * Sends a refusal as the response to a request.
      *
      * @param response the HTTP response to write
-     * @param requestId the ID of the request
+     * @param requestId the id of the request
      * @param refusal the refusal to write
      */
     public Publisher<Void> write(HttpServerResponse response, String requestId, Refusal refusal) {
@@ -66,12 +66,12 @@
     /**
      * Returns the server-sent error event that ends a stream which failed after its first event.
      *
-     * @param requestId the ID of the request
+     * @param requestId the id of the request
      * @param refusal the reason for the failure
      */
     public byte[] errorEvent(String requestId, Refusal refusal) {
         metrics.requestRefused(refusal);
-        byte[] json = HttpJson.bytes(body(requestId, refusal));
+        byte[] json = HttpJson.serialize(body(requestId, refusal));
         String event = "event: error\ndata: " + new String(json, java.nio.charset.StandardCharsets.UTF_8) + "\n\n";
         return event.getBytes(java.nio.charset.StandardCharsets.UTF_8);
     }
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Retries.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/Retries.java
@@ -47,7 +47,7 @@
         return attempts;
     }
 
-    /** Returns the IDs of the endpoints at which an attempt has failed. */
+    /** Returns the ids of the endpoints at which an attempt has failed. */
     public Set<String> failedEndpointIds() {
         return failedEndpointIds;
     }
@@ -62,7 +62,7 @@
     public void onFailure(Endpoint endpoint, AttemptFailure failure) {
         failedEndpointIds.add(endpoint.id());
         health.recordFailure(endpoint.id());
-        verdict = verdict.and(failure.verdict());
+        verdict = verdict.combinedWith(failure.verdict());
         boolean timeLeft = clock.instant().isBefore(request.deadline());
         if (!failure.verdict().allowsRetry(idempotent) || attempts >= MAX_ATTEMPTS || !timeLeft) {
             throw refusal(failure);
@@ -80,7 +80,7 @@
     public RefusedException withAttemptsVerdict(RefusedException refused) {
         Refusal placementRefusal = refused.refusal();
         return new RefusedException(new Refusal(
-                placementRefusal.code(), verdict.and(placementRefusal.verdict()), placementRefusal.detail()));
+                placementRefusal.code(), verdict.combinedWith(placementRefusal.verdict()), placementRefusal.detail()));
     }
 
     private RefusedException refusal(AttemptFailure failure) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/RouterTraffic.java
@@ -2,7 +2,7 @@
 
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.time.Clock;
-import org.radishpass.core.admission.WorkspaceGate;
+import org.radishpass.core.admission.WorkspaceLimiter;
 import org.radishpass.router.RouterSettings;
 import org.radishpass.router.internal.control.RouterControl;
 import org.radishpass.router.internal.endpoint.EndpointClient;
@@ -37,12 +37,12 @@
             Clock clock) {
         this.trafficMetrics = new TrafficMetrics(metrics);
         PassiveHealth health = new PassiveHealth(clock);
-        SlotClient slots = new SlotClient(control, clock);
+        SlotClient slotClient = new SlotClient(control, clock);
         TrafficComponents components = new TrafficComponents(
-                new Placer(control, slots, health, clock),
+                new Placer(control, slotClient, health, clock),
                 new EndpointClient(runtime.client(), clock),
                 new Retries.Factory(health, clock),
-                new WorkspaceGate(),
+                new WorkspaceLimiter(),
                 trafficMetrics,
                 new RefusalWriter(trafficMetrics),
                 new DecisionLog(),
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceHandler.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/ServiceHandler.java
@@ -88,7 +88,7 @@
                             workspace,
                             message.priority(),
                             now,
-                            now.plusMillis(message.leftMillis()),
+                            now.plusMillis(message.remainingMillis()),
                             snapshot);
                     String type = message.contentType().isEmpty() ? null : message.contentType();
                     ServiceCall call = new ServiceCall(
@@ -108,8 +108,8 @@
     private Mono<CompleteResponse> execute(CallerRequest caller, String pool, ServiceCall call) {
         WorkspaceSpec workspace = caller.workspace();
         if (!components
-                .gate()
-                .tryEnter(
+                .workspaceLimiter()
+                .tryAcquire(
                         workspace.name(),
                         workspace.inFlight(),
                         caller.snapshot().activeRouterCount())) {
@@ -132,7 +132,7 @@
         ServiceRun run = new ServiceRun(caller, placeRequest, call, components, decision);
         return runOnceIfKeyed(caller, call, run)
                 .doOnNext(response -> decision.recordSuccess())
-                .doFinally(signal -> components.gate().leave(workspace.name()));
+                .doFinally(signal -> components.workspaceLimiter().release(workspace.name()));
     }
 
     private Mono<CompleteResponse> runOnceIfKeyed(CallerRequest caller, ServiceCall call, ServiceRun run) {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/SlotClient.java
@@ -11,8 +11,8 @@
 import org.radishpass.core.fleet.Endpoint;
 import org.radishpass.core.fleet.Vm;
 import org.radishpass.core.load.LoadBound;
+import org.radishpass.core.load.LocalLoadLimiter;
 import org.radishpass.core.load.PoolLoad;
-import org.radishpass.core.load.SliverBound;
 import org.radishpass.core.load.SlotAnswer;
 import org.radishpass.peer.message.PeerMessage;
 import org.radishpass.router.internal.control.RouterControl;
@@ -32,7 +32,7 @@
 
     private final ConcurrentHashMap<Long, HeldSlot> heldSlots = new ConcurrentHashMap<>();
     private final AtomicLong lastSlotId = new AtomicLong();
-    private final SliverBound ownLoad = new SliverBound();
+    private final LocalLoadLimiter localLimiter = new LocalLoadLimiter();
     private final RouterControl control;
     private final Clock clock;
 
@@ -48,7 +48,7 @@
         control.onFleetChange(this::announceToNewOwners);
     }
 
-    /** Returns a new slot ID, unique within this router. */
+    /** Returns a new slot id, unique within this router. */
     public long nextSlotId() {
         return lastSlotId.incrementAndGet();
     }
@@ -56,7 +56,7 @@
     /**
      * Requests a slot at an endpoint from the endpoint's owner.
      *
-     * @param slotId the ID of the new slot
+     * @param slotId the id of the new slot
      * @param endpoint the endpoint
      * @param request the request to place
      */
@@ -83,17 +83,17 @@
      * @param endpoint the endpoint that receives the request
      */
     public void startedWithoutSlot(Endpoint endpoint) {
-        ownLoad.started(endpoint.id());
+        localLimiter.started(endpoint.id());
     }
 
     /**
      * Counts a request as ended and releases its slot, if a slot is held.
      *
-     * @param slotId the ID of the slot
+     * @param slotId the id of the slot
      * @param endpoint the endpoint that received the request
      */
     public void release(long slotId, Endpoint endpoint) {
-        ownLoad.ended(endpoint.id());
+        localLimiter.ended(endpoint.id());
         HeldSlot slot = heldSlots.remove(slotId);
         if (slot == null) {
             return;
@@ -104,10 +104,10 @@
     /**
      * Returns the number of this router's own requests that run at an endpoint.
      *
-     * @param endpointId the ID of the endpoint
+     * @param endpointId the id of the endpoint
      */
     public int running(String endpointId) {
-        return ownLoad.running(endpointId);
+        return localLimiter.running(endpointId);
     }
 
     private Mono<PeerMessage.SlotReply> requestSlot(Optional<Vm> owner, PeerMessage.SlotWanted wanted) {
@@ -128,12 +128,12 @@
             Optional<Vm> owner,
             Instant expiresAt) {
         boolean unconfirmed = result.answer() == SlotAnswer.UNCONFIRMED;
-        if (unconfirmed && !allowedByOwnLoad(endpoint, request)) {
+        if (unconfirmed && !allowedLocally(endpoint, request)) {
             owner.ifPresent(vm -> sendRelease(vm, slotId, endpoint));
             return SlotResult.OVER_OWN_BOUND;
         }
         if (result.allowsSending()) {
-            ownLoad.started(endpoint.id());
+            localLimiter.started(endpoint.id());
             String ownerId = owner.map(Vm::id).orElse("");
             heldSlots.put(slotId, new HeldSlot(endpoint.id(), request.priority(), expiresAt, ownerId));
         }
@@ -149,19 +149,19 @@
         }
     }
 
-    private boolean allowedByOwnLoad(Endpoint endpoint, PlaceRequest request) {
-        List<Endpoint> open = control.snapshot().fleet().open(request.pool());
-        PoolLoad ownPoolLoad = PoolLoad.NONE;
-        for (Endpoint member : open) {
-            ownPoolLoad = ownPoolLoad.plus(new PoolLoad(ownLoad.running(member.id()), member.weight()));
+    private boolean allowedLocally(Endpoint endpoint, PlaceRequest request) {
+        List<Endpoint> accepting = control.snapshot().fleet().acceptingEndpoints(request.pool());
+        PoolLoad localPoolLoad = PoolLoad.NONE;
+        for (Endpoint member : accepting) {
+            localPoolLoad = localPoolLoad.plus(new PoolLoad(localLimiter.running(member.id()), member.weight()));
         }
         LoadBound bound = request.bound();
-        return ownLoad.allows(endpoint.id(), endpoint.weight(), ownPoolLoad, bound);
+        return localLimiter.allows(endpoint.id(), endpoint.weight(), localPoolLoad, bound);
     }
 
     private int millisUntil(Instant deadline) {
-        long left = Duration.between(clock.instant(), deadline).toMillis();
-        return (int) Math.max(0, Math.min(left, Integer.MAX_VALUE));
+        long remaining = Duration.between(clock.instant(), deadline).toMillis();
+        return (int) Math.max(0, Math.min(remaining, Integer.MAX_VALUE));
     }
 
     private void announceToNewOwners() {
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketService.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TicketService.java
@@ -19,7 +19,7 @@
 /**
  * Issues tickets, which are idempotency keys that work without the store, and runs the request of each at most once.
  *
- * <p>A ticket contains the ID and incarnation of the router that issued the ticket. Only that incarnation may run the
+ * <p>A ticket contains the id and incarnation of the router that issued the ticket. Only that incarnation may run the
  * request; other routers forward the request to the issuer. If the issuer is unreachable or has restarted, the request
  * may have run and is not run again.
  *
@@ -63,7 +63,7 @@
         Mono<CompleteResponse> execution = run.response()
                 .doOnError(RefusedException.class, refused -> {
                     if (refused.refusal().verdict() == Verdict.NOT_RUN) {
-                        ledger.notRun(ticket.number());
+                        ledger.markNotRun(ticket.number());
                     }
                 })
                 .cache();
--- a/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficComponents.java
+++ b/radishpass-router/src/main/java/org/radishpass/router/internal/traffic/TrafficComponents.java
@@ -1,7 +1,7 @@
 package org.radishpass.router.internal.traffic;
 
 import java.time.Clock;
-import org.radishpass.core.admission.WorkspaceGate;
+import org.radishpass.core.admission.WorkspaceLimiter;
 import org.radishpass.router.internal.endpoint.EndpointClient;
 
 /**
@@ -10,7 +10,7 @@
  * @param placer chooses endpoints and reserves slots
  * @param client sends attempts to endpoints
  * @param retries limits the attempts of each request
- * @param gate limits the requests in progress of each workspace
+ * @param workspaceLimiter limits the requests in progress of each workspace
  * @param metrics records counts and durations of requests
  * @param refusals writes refusals to callers
  * @param decisions keeps the recent placement decisions
@@ -22,7 +22,7 @@
         Placer placer,
         EndpointClient client,
         Retries.Factory retries,
-        WorkspaceGate gate,
+        WorkspaceLimiter workspaceLimiter,
         TrafficMetrics metrics,
         RefusalWriter refusals,
         DecisionLog decisions,
--- a/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
+++ b/radishpass-router/src/test/java/org/radishpass/router/internal/control/ConfigurationTrackerTest.java
@@ -73,7 +73,7 @@
         write(original, "1");
         poll();
 
-        original.out(true);
+        original.setOutage(true);
         poll();
 
         assertThat(tracker.current().revision()).isEqualTo(1);
@@ -109,7 +109,7 @@
 
     @Test
     void revisionIsUnknownDuringOutageAtStart() {
-        original.out(true);
+        original.setOutage(true);
         poll();
 
         assertThat(tracker.revisionKnown()).isFalse();
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ConfigurationFollower.java
@@ -219,7 +219,7 @@
     private void pauseFor(Duration time) {
         state = State.PAUSING;
         int number = ++latestPauseNumber;
-        thread.after(time, () -> {
+        thread.scheduleAfter(time, () -> {
             if (number == latestPauseNumber) {
                 pauseEnded();
             }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/ControlPlane.java
@@ -246,7 +246,7 @@
                 drainsChanged("store");
             }
             if (drains.hasMissingRows()) {
-                thread.after(Duration.ofMillis(DrainTracker.GRACE_MILLIS), this::expireDrains);
+                thread.scheduleAfter(Duration.ofMillis(DrainTracker.GRACE_MILLIS), this::expireDrains);
             }
         }
 
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/DocumentExchange.java
@@ -68,12 +68,12 @@
      * @return whether the peer confirmed this router's endpoint list with a later read of the store
      */
     boolean fetchNewer(PeerLinks links, Peer peer, RoutingMessage.RoutingState state, boolean readsConfiguration) {
-        if (configuration.noteAnnouncedVersion(state.configuration(), clock.millis())) {
+        if (configuration.noteAnnouncedVersion(state.configurationVersion(), clock.millis())) {
             listener.newerConfigurationExists();
         }
-        if (state.configuration() > configuration.version()) {
+        if (state.configurationVersion() > configuration.version()) {
             Duration wait = readsConfiguration && configuration.version() >= 0 ? STORE_HEAD_START : Duration.ZERO;
-            fetch(links, peer, CONFIGURATION, wait, () -> state.configuration() > configuration.version());
+            fetch(links, peer, CONFIGURATION, wait, () -> state.configurationVersion() > configuration.version());
         }
         EndpointListVersion peerVersion = peer.listVersion();
         if (directory.known() && !peerVersion.supersedes(directory.listVersion())) {
@@ -108,7 +108,7 @@
             return RoutingMessage.Document.of(wanted.name(), configuration.version(), configurationFor(wanted));
         }
         byte[] list = EndpointListCodec.encode(directory.snapshot());
-        DocumentPacking packing = wanted.unpacks() ? DocumentPacking.COMPRESSED : DocumentPacking.PLAIN;
+        DocumentPacking packing = wanted.acceptsPacked() ? DocumentPacking.COMPRESSED : DocumentPacking.PLAIN;
         return RoutingMessage.Document.of(
                 wanted.name(),
                 directory.listVersion().position().revision(),
@@ -117,7 +117,7 @@
 
     private PackedDocument configurationFor(RoutingMessage.DocumentWanted wanted) {
         DocumentHistory versions = configuration.documents();
-        return wanted.unpacks()
+        return wanted.acceptsPacked()
                 ? packer.pack(versions, wanted.baseHash())
                 : new PackedDocument(
                         DocumentPacking.PLAIN,
@@ -130,7 +130,7 @@
         if (!fetches.tryBegin(name, peer.id(), clock.millis() + wait.toMillis())) {
             return;
         }
-        thread.after(wait, () -> {
+        thread.scheduleAfter(wait, () -> {
             if (stillNeeded.getAsBoolean()) {
                 request(links, peer, name);
             } else {
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/EndpointListFollower.java
@@ -60,7 +60,7 @@
 
     private void scheduleRead(Duration delay) {
         int scheduleNumber = ++latestScheduleNumber;
-        thread.after(delay, () -> {
+        thread.scheduleAfter(delay, () -> {
             if (scheduleNumber == latestScheduleNumber) {
                 readIfDue();
             }
@@ -75,7 +75,7 @@
         readInProgress = true;
         ListRead read = new ListRead();
         read.sendRequest();
-        thread.after(Duration.ofMillis(SECOND_REQUEST_DELAY_MILLIS), read::sendSecondRequest);
+        thread.scheduleAfter(Duration.ofMillis(SECOND_REQUEST_DELAY_MILLIS), read::sendSecondRequest);
     }
 
     /** One read of the list, with one request to the store or two. */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Peer.java
@@ -77,7 +77,7 @@
     boolean recordState(RoutingMessage.RoutingState state, EndpointListVersion newListVersion, long nowMillis) {
         listVersion = newListVersion;
         ownReadStoreMillis = state.ownReadMillis();
-        if (state.scope().leads()) {
+        if (state.scope().sentByGatherer()) {
             gathererAtMillis = nowMillis;
         } else {
             memberAtMillis = nowMillis;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/PeerExchange.java
@@ -76,7 +76,7 @@
         this.links = peerLinks;
         this.suspectReporter = new SuspectReporter(thread, clock, self, suspects, peers, peerLinks);
         this.workReporter = new WorkReporter(thread, clock, self, work, controlState, peers, peerLinks);
-        thread.every(Duration.ofMillis(TICK_MILLIS), this::tick);
+        thread.schedulePeriodically(Duration.ofMillis(TICK_MILLIS), this::tick);
     }
 
     /** Tells whether the exchange has been started. Before that, other routers are not known. */
@@ -299,7 +299,7 @@
 
     private void markUnreachable(String id) {
         peers.find(id).filter(peer -> peer.markSuspected(clock.millis())).ifPresent(peer -> {
-            links().drop(id);
+            links().closeLink(id);
             logLost(peer);
         });
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/QuarantinePersistence.java
@@ -85,7 +85,7 @@
             LOG.info(
                     "quarantined requests could not be read from the store; the router tries again: {}",
                     unavailable.reason());
-            thread.after(readBackoff.next(), this::load);
+            thread.scheduleAfter(readBackoff.next(), this::load);
         }
     }
 
@@ -97,7 +97,7 @@
      */
     void storeRestored(Duration delay) {
         if (!savedByRequest.isEmpty()) {
-            thread.after(delay, () -> suspects.suspects(report -> thread.run(() -> rewrite(report))));
+            thread.scheduleAfter(delay, () -> suspects.suspects(report -> thread.run(() -> rewrite(report))));
         }
     }
 
@@ -112,9 +112,9 @@
         for (Map.Entry<RequestFingerprint, Boolean> row : List.copyOf(savedByRequest.entrySet())) {
             Suspect suspect = suspected.get(row.getKey());
             if (row.getValue() && suspect != null) {
-                thread.after(Duration.ofMillis(delayMillis), () -> save(suspect));
+                thread.scheduleAfter(Duration.ofMillis(delayMillis), () -> save(suspect));
             } else if (!row.getValue() && suspect == null) {
-                thread.after(Duration.ofMillis(delayMillis), () -> remove(row.getKey()));
+                thread.scheduleAfter(Duration.ofMillis(delayMillis), () -> remove(row.getKey()));
             }
             delayMillis += REWRITE_INTERVAL_MILLIS;
         }
@@ -150,7 +150,7 @@
                 return;
             }
             if (attempt < MAX_ATTEMPTS) {
-                thread.after(backoff.next(), () -> write(call, request, backoff, attempt + 1));
+                thread.scheduleAfter(backoff.next(), () -> write(call, request, backoff, attempt + 1));
             } else {
                 LOG.warn(
                         "the quarantine of request {} could not be updated in the store; the routers still know of it",
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/Registration.java
@@ -41,7 +41,7 @@
                 learn.accept(registered.routers());
             } else if (result instanceof RegistryReadResult.Unavailable unavailable) {
                 LOG.info("this router could not be registered in the store; it tries again: {}", unavailable.reason());
-                thread.after(RETRY_PAUSE, () -> registerUnlessRemoved(learn));
+                thread.scheduleAfter(RETRY_PAUSE, () -> registerUnlessRemoved(learn));
             }
         });
     }
@@ -61,7 +61,7 @@
      */
     void storeRestored(Duration delay, Consumer<Collection<FleetRouter>> learn) {
         int renewal = ++lastRenewal;
-        thread.after(delay, () -> {
+        thread.scheduleAfter(delay, () -> {
             if (renewal == lastRenewal && registered() && !removed) {
                 register(learn);
             }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutedRouter.java
@@ -119,7 +119,7 @@
                     control::introduction);
         } catch (ChannelBindException e) {
             LOG.error("binding the peer address {} failed; the router tries again", self.address(), e);
-            thread.after(BIND_RETRY_PAUSE, () -> joinPeers(seeds));
+            thread.scheduleAfter(BIND_RETRY_PAUSE, () -> joinPeers(seeds));
             return;
         }
         control.join(node, seeds);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutingMessageMapper.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/RoutingMessageMapper.java
@@ -103,7 +103,7 @@
     /** Returns the store read on which a peer's endpoint list is based. */
     static EndpointListVersion toListVersion(RoutingMessage.RoutingState state, StoreEra era) {
         return new EndpointListVersion(
-                        new StorePosition(state.directoryEra(), state.directory()),
+                        new StorePosition(state.directoryEra(), state.directoryRevision()),
                         state.directoryReadMillis(),
                         state.directorySettled())
                 .withResolvedEra(era);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StartSequence.java
@@ -59,8 +59,8 @@
             pendingCallers = callers;
             pendingJoin = joinPeers;
         });
-        thread.after(MAX_SERVE_DELAY, this::serve);
-        thread.after(MAX_JOIN_DELAY, this::join);
+        thread.scheduleAfter(MAX_SERVE_DELAY, this::serve);
+        thread.scheduleAfter(MAX_JOIN_DELAY, this::join);
     }
 
     /** Serves the callers that have been waiting, unless they are served already. */
@@ -68,7 +68,7 @@
         CallerSocket socket = pendingCallers;
         pendingCallers = null;
         if (socket != null) {
-            thread.after(JOIN_DELAY_AFTER_SERVING, this::join);
+            thread.scheduleAfter(JOIN_DELAY_AFTER_SERVING, this::join);
             var unused = traffic.serve(socket).whenComplete(this::onServing);
         }
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/StoreFollower.java
@@ -57,7 +57,8 @@
     void start() {
         configurationFollower.start();
         endpointListFollower.start();
-        thread.every(Duration.ofMillis(DUTY_CHECK_INTERVAL_MILLIS), configurationFollower::pollIfResponsible);
+        thread.schedulePeriodically(
+                Duration.ofMillis(DUTY_CHECK_INTERVAL_MILLIS), configurationFollower::pollIfResponsible);
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessageMapper.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectMessageMapper.java
@@ -18,7 +18,7 @@
         return new RoutingMessage.SuspectRequests(
                 report.suspects().stream().map(SuspectMessageMapper::suspect).toList(),
                 report.cleared().stream()
-                        .map(SuspectMessageMapper::toRequestName)
+                        .map(SuspectMessageMapper::toRequestDigests)
                         .toList(),
                 scope);
     }
@@ -33,7 +33,7 @@
 
     private static RoutingMessage.SuspectRequest suspect(Suspect suspect) {
         return new RoutingMessage.SuspectRequest(
-                toRequestName(suspect.request()),
+                toRequestDigests(suspect.request()),
                 suspect.crashes().stream()
                         .map(crash -> new RoutingMessage.EndedEndpoint(
                                 crash.endpointHash(), crash.ageMillis(), crash.inProgressMillis()))
@@ -43,17 +43,17 @@
 
     private static Suspect suspect(RoutingMessage.SuspectRequest entry) {
         List<EndpointCrash> crashes = entry.ends().stream()
-                .map(end -> new EndpointCrash(end.endpointHash(), Math.max(0, end.ageMillis()), end.atWorkMillis()))
+                .map(end -> new EndpointCrash(end.endpointHash(), Math.max(0, end.ageMillis()), end.inProgressMillis()))
                 .toList();
         return new Suspect(
                 toFingerprint(entry.request()), crashes, Math.max(Suspect.NEVER_TRIED, entry.triedMillisAgo()));
     }
 
-    private static RoutingMessage.RequestName toRequestName(RequestFingerprint request) {
-        return new RoutingMessage.RequestName(request.workspace(), request.target(), request.body());
+    private static RoutingMessage.RequestDigests toRequestDigests(RequestFingerprint request) {
+        return new RoutingMessage.RequestDigests(request.workspace(), request.target(), request.body());
     }
 
-    private static RequestFingerprint toFingerprint(RoutingMessage.RequestName name) {
-        return new RequestFingerprint(name.workspace(), name.target(), name.body());
+    private static RequestFingerprint toFingerprint(RoutingMessage.RequestDigests digests) {
+        return new RequestFingerprint(digests.workspace(), digests.target(), digests.body());
     }
 }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/SuspectReporter.java
@@ -77,7 +77,7 @@
 
     private void sendTwice(SuspectReport report, Consumer<SuspectReport> sender) {
         sender.accept(report);
-        thread.after(RESEND_DELAY, () -> sender.accept(report.aged(RESEND_DELAY.toMillis())));
+        thread.scheduleAfter(RESEND_DELAY, () -> sender.accept(report.aged(RESEND_DELAY.toMillis())));
     }
 
     /**
--- a/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/control/WorkReporter.java
@@ -147,7 +147,7 @@
             boolean sameDataCentre = peer.router().dataCentre().equals(self.dataCentre());
             if ((sameDataCentre || plan.gathers()) && peer.probeDue(nowMillis)) {
                 peer.markSuspected(nowMillis);
-                links.drop(peer.id());
+                links.closeLink(peer.id());
                 send(peer, introduction);
             }
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/dialect/ResponseHead.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/dialect/ResponseHead.java
@@ -14,7 +14,7 @@
  * @param keepAliveMillis the time for which the endpoint keeps an idle connection open, in milliseconds, if stated
  * @param signed whether the head bears the endpoint's signature, without which a success is not trusted
  * @param closing whether the endpoint closes the connection after this response
- * @param leaving whether the endpoint states that it is draining: it completes its requests and accepts no new ones
+ * @param leaving whether the endpoint states that it is leaving: it completes its requests and accepts no new ones
  * @param retryAfterMillis the time for which the endpoint asks to be sent nothing, in milliseconds, if stated
  * @since 0.2.0
  */
@@ -126,7 +126,7 @@
             return this;
         }
 
-        /** Sets whether the endpoint states that it is draining. */
+        /** Sets whether the endpoint states that it is leaving. */
         public Builder leaving(boolean stated) {
             this.leaving = stated;
             return this;
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointDirectory.java
@@ -39,18 +39,18 @@
         }
     }
 
-    /** Returns all endpoints, including draining endpoints. */
+    /** Returns all endpoints, including leaving endpoints. */
     public Collection<ServiceEndpoint> all() {
         return byId.values();
     }
 
-    /** Returns the number of endpoints, including draining endpoints. */
+    /** Returns the number of endpoints, including leaving endpoints. */
     public int size() {
         return byId.size();
     }
 
     /**
-     * Returns the endpoints of a service that accept new requests, which excludes draining endpoints.
+     * Returns the endpoints of a service that accept new requests, which excludes leaving endpoints.
      *
      * @param service the name of the service
      */
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Returns all endpoints of a service, including draining endpoints.
+     * Returns all endpoints of a service, including leaving endpoints.
      *
      * @param service the name of the service
      */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointEligibility.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/EndpointEligibility.java
@@ -5,7 +5,7 @@
 import org.radishpass.core.fleet.DataCentre;
 
 /**
- * The conditions that restrict new requests to endpoints, other than the draining of single endpoints. Immutable.
+ * The conditions that restrict new requests to endpoints, other than the leaving of single endpoints. Immutable.
  *
  * @param drained the data centres to which no new requests are sent
  * @param coldUntilMillis the end of the warm-up of endpoints that have just started, by endpoint id, on the monotonic
--- a/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/fleet/ServiceEndpoint.java
@@ -7,7 +7,7 @@
 /**
  * One incarnation of an endpoint, as the endpoint registered itself. The router keeps all state of an endpoint by
  * {@link #id}, so that no state outlives the incarnation: health, work in flight, cached prompts, connections and
- * draining.
+ * whether the endpoint is leaving.
  *
  * @param id the unique id of this incarnation
  * @param name the name under which the endpoint registered; shared by all incarnations of the endpoint
@@ -16,7 +16,7 @@
  * @param address the address at which the endpoint accepts requests; other endpoints may reuse it later
  * @param dataCentre the data centre of the endpoint
  * @param slots the number of requests that the endpoint runs concurrently
- * @param leaving whether the endpoint is draining: it completes its requests and accepts no new ones
+ * @param leaving whether the endpoint is leaving: it completes its requests and accepts no new ones
  * @param hash the hash of the id for rendezvous hashing
  * @param coldUntilStoreMillis the end of the warm-up, on the store's clock in milliseconds; {@link #NEVER_COLD} if the
  *     endpoint has stated none
@@ -54,7 +54,7 @@
                 NEVER_COLD);
     }
 
-    /** Returns a copy of this endpoint that is draining. */
+    /** Returns a copy of this endpoint that is leaving. */
     public ServiceEndpoint asLeaving() {
         return new ServiceEndpoint(
                 id, name, incarnation, service, address, dataCentre, slots, true, hash, coldUntilStoreMillis);
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/EndpointHealth.java
@@ -174,7 +174,7 @@
      */
     public void recordReportedFailing(WorkScope scope, long untilMillis) {
         reportedFailingUntilMillis = Math.max(reportedFailingUntilMillis, untilMillis);
-        if (!scope.leads()) {
+        if (!scope.sentByGatherer()) {
             memberReportedFailingUntilMillis = Math.max(memberReportedFailingUntilMillis, untilMillis);
         }
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/LeavingEndpoints.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/LeavingEndpoints.java
@@ -6,8 +6,8 @@
 import org.radishpass.routing.fleet.EndpointDirectory;
 
 /**
- * Tracks the endpoints that have stated in a response to this router that they are draining. The list of endpoints may
- * show the draining much later, because the list comes from the store, which may be unavailable. Confined to the
+ * Tracks the endpoints that have stated in a response to this router that they are leaving. The list of endpoints may
+ * show them as leaving much later, because the list comes from the store, which may be unavailable. Confined to the
  * traffic thread.
  *
  * @since 0.6.0
@@ -16,18 +16,18 @@
     private final Map<String, Long> sinceMillis = new HashMap<>();
 
     /**
-     * Records that an endpoint is draining. One incarnation of an endpoint never stops draining again.
+     * Records that an endpoint is leaving. A leaving endpoint accepts no new requests for the rest of its incarnation.
      *
      * @param endpointId the endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
-     * @return whether the draining was not known before
+     * @return whether the endpoint was not known to be leaving before
      */
     public boolean note(String endpointId, long nowMillis) {
         return sinceMillis.putIfAbsent(endpointId, nowMillis) == null;
     }
 
     /**
-     * Tells whether an endpoint has stated that it is draining.
+     * Tells whether an endpoint has stated that it is leaving.
      *
      * @param endpointId the endpoint
      */
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Returns when an endpoint first stated that it is draining, on the monotonic clock in milliseconds; empty if it
+     * Returns when an endpoint first stated that it is leaving, on the monotonic clock in milliseconds; empty if it
      * did not.
      *
      * @param endpointId the endpoint
@@ -46,7 +46,7 @@
         return since == null ? OptionalLong.empty() : OptionalLong.of(since);
     }
 
-    /** Returns the number of endpoints that have stated that they are draining. */
+    /** Returns the number of endpoints that have stated that they are leaving. */
     public int size() {
         return sinceMillis.size();
     }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/health/package-info.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/health/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The health of the endpoints: failed connections, errors, slow responses, rejections and draining.
+ * The health of the endpoints: failed connections, errors, slow responses, rejections and leaving endpoints.
  *
  * @since 0.2.0
  */
--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightTracker.java
@@ -119,7 +119,7 @@
         }
         if (scope == WorkScope.OTHERS) {
             othersReportValidUntilMillis = nowMillis + OTHERS_REPORT_VALID_MILLIS;
-            removeReports(report -> report.scope.leads());
+            removeReports(report -> report.scope.sentByGatherer());
         } else if (scope == WorkScope.GROUP) {
             removeReports(report -> report.scope == WorkScope.OTHERS);
         }
--- a/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/placement/PlacementQuery.java
@@ -10,7 +10,7 @@
  *
  * @param candidates the endpoints to which the request may be sent
  * @param wholeService the usable endpoints of the service, including endpoints that receive no new requests for now
- * @param cacheSources the endpoints from whose caches prompts can be fetched, including draining endpoints
+ * @param cacheSources the endpoints from whose caches prompts can be fetched, including leaving endpoints
  * @param prompt the description of the prompt, if the request has one
  * @param requestHash a uniformly distributed hash of the request, which breaks ties
  * @param routers the number of routers in the fleet, including this router
--- a/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/CrashHistory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/quarantine/CrashHistory.java
@@ -29,8 +29,8 @@
 
     /**
      * The length of the quarantine after the second, the third, the fourth and any later crash. A trial may cost an
-     * engine and the responses to its other requests, typically 2 to 14. A request that has crashed three endpoints
-     * almost certainly crashes the fourth.
+     * engine and the responses to its other requests; in the case for which this was built, these were 2 to 14
+     * requests. A request that has crashed three endpoints almost certainly crashes the fourth.
      */
     private static final long[] QUARANTINE_MILLIS = {
         TimeUnit.MINUTES.toMillis(1),
--- a/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/traffic/SendHistory.java
@@ -25,7 +25,7 @@
         sends++;
         lastSentAtMillis = nowMillis;
         verdictBeforeLast = verdict;
-        verdict = verdict.and(Verdict.MAY_HAVE_RUN);
+        verdict = verdict.combinedWith(Verdict.MAY_HAVE_RUN);
     }
 
     /** Records that the last endpoint has proved that it did not run the request. */
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualRouter.java
@@ -85,7 +85,7 @@
 
     void start(List<Address> seeds) {
         control.start();
-        thread.after(JOIN_DELAY, () -> {
+        thread.scheduleAfter(JOIN_DELAY, () -> {
             joined = true;
             control.join(links, seeds);
         });
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void drop(String peerId) {
+        public void closeLink(String peerId) {
             Link link = open.remove(peerId);
             if (link != null) {
                 droppedLinks++;
@@ -221,7 +221,7 @@
             VirtualRouter other = fleet.find(peer.id());
             if (other == null || !other.joined || !fleet.network().reaches(self.id(), peer.id())) {
                 open.remove(peer.id());
-                thread.after(
+                thread.scheduleAfter(
                         Duration.ofMillis(DIAL_TIMEOUT_MILLIS),
                         () -> control.handler().unreachable(peer.id()));
                 return null;
--- a/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
+++ b/radishpass-routing/src/test/java/org/radishpass/routing/control/VirtualTransfer.java
@@ -39,15 +39,15 @@
     }
 
     private void watch() {
-        long leftMillis = progress.deadlineMillis() - scheduler.millis();
+        long remainingMillis = progress.deadlineMillis() - scheduler.millis();
         if (finished) {
             return;
         }
-        if (leftMillis < 0) {
+        if (remainingMillis < 0) {
             finished = true;
             result.tryEmitError(new IOException("given up after " + progress.bytes() + " bytes"));
             return;
         }
-        scheduler.schedule(this::watch, leftMillis + 1, TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::watch, remainingMillis + 1, TimeUnit.MILLISECONDS);
     }
 }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpJson.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/http/HttpJson.java
@@ -34,7 +34,7 @@
      * @param body the object to serialize
      */
     public static Publisher<Void> send(HttpServerResponse response, int status, Object body) {
-        byte[] bytes = bytes(body);
+        byte[] bytes = serialize(body);
         return response.status(HttpResponseStatus.valueOf(status))
                 .header(HttpHeaderNames.CONTENT_TYPE, MEDIA_TYPE)
                 .header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(bytes.length))
@@ -73,7 +73,7 @@
      *
      * @param body the object to serialize
      */
-    public static byte[] bytes(Object body) {
+    public static byte[] serialize(Object body) {
         try {
             return JSON.writeValueAsBytes(body);
         } catch (IOException e) {
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/CountingHandler.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/CountingHandler.java
@@ -29,7 +29,7 @@
      * @param kind the kind of traffic under which the bytes are counted
      * @param meter the meter that counts the bytes
      */
-    public static HttpClient counted(HttpClient client, String kind, TrafficMeter meter) {
+    public static HttpClient countingClient(HttpClient client, String kind, TrafficMeter meter) {
         return client.doOnChannelInit((observer, channel, address) ->
                 channel.pipeline().addFirst(HANDLER_NAME, new CountingHandler(kind, meter)));
     }
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/ControlCpu.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/metrics/ProcessMetrics.java
@@ -12,13 +12,13 @@
  *
  * @since 0.1.0
  */
-public final class ControlCpu {
+public final class ProcessMetrics {
     /** The prefix of the names of control threads. */
     public static final String THREAD_PREFIX = "control";
 
     private static final double NANOS_PER_SECOND = 1_000_000_000;
 
-    private ControlCpu() {
+    private ProcessMetrics() {
         // static methods only
     }
 
@@ -29,7 +29,7 @@
      */
     public static void register(MeterRegistry metrics) {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-        FunctionCounter.builder("radishpass.control.cpu", threads, ControlCpu::seconds)
+        FunctionCounter.builder("radishpass.control.cpu", threads, ProcessMetrics::seconds)
                 .description("processor time of the control threads")
                 .baseUnit("seconds")
                 .register(metrics);
--- a/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/ControlThread.java
+++ b/radishpass-runtime/src/main/java/org/radishpass/runtime/thread/ControlThread.java
@@ -79,7 +79,7 @@
      * @param period the time between the starts of two runs
      * @param task the task
      */
-    public void every(Duration period, Runnable task) {
+    public void schedulePeriodically(Duration period, Runnable task) {
         long millis = period.toMillis();
         scheduler.schedulePeriodically(loggingFailures(task), millis, millis, TimeUnit.MILLISECONDS);
     }
@@ -90,7 +90,7 @@
      * @param delay the delay
      * @param task the task
      */
-    public void after(Duration delay, Runnable task) {
+    public void scheduleAfter(Duration delay, Runnable task) {
         scheduler.schedule(loggingFailures(task), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineStandIn.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/EngineStandIn.java
@@ -281,7 +281,7 @@
     }
 
     private static String usageEvent(Prompt prompt, int cachedTokens) {
-        String counts = new String(HttpJson.bytes(usageCounts(prompt, cachedTokens)), StandardCharsets.UTF_8);
+        String counts = new String(HttpJson.serialize(usageCounts(prompt, cachedTokens)), StandardCharsets.UTF_8);
         return "id: " + prompt.maxTokens() + "\ndata: {\"object\":\"chat.completion.chunk\",\"choices\":[],"
                 + "\"usage\":" + counts + "}\n\n";
     }
--- a/radishpass-standin/src/main/java/org/radishpass/standin/engine/Prompt.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/engine/Prompt.java
@@ -27,7 +27,7 @@
         String prompt = text.toString();
         int nonceEnd = lastMessage.indexOf(' ');
         String nonce = nonceEnd < 0 ? lastMessage : lastMessage.substring(0, nonceEnd);
-        List<Long> blockHashes = PromptBlocks.chain(prompt);
+        List<Long> blockHashes = PromptBlocks.prefixHashes(prompt);
         int tokens = (int) prompt.chars().filter(c -> c == ' ').count();
         int maxTokens = Math.max(1, body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS));
         return new Prompt(
--- a/radishpass-standin/src/main/java/org/radishpass/standin/platform/PlatformServer.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/platform/PlatformServer.java
@@ -86,7 +86,7 @@
         String uri = request.uri();
         int parameterStart = uri.indexOf("observer=");
         String observer = parameterStart < 0 ? "" : uri.substring(parameterStart + "observer=".length());
-        byte[] body = HttpJson.bytes(Map.of("vms", vmList.list(observer)));
+        byte[] body = HttpJson.serialize(Map.of("vms", vmList.list(observer)));
         String etag = '"' + Long.toHexString(Rendezvous.hash(new String(body, StandardCharsets.UTF_8))) + '"';
         response.header(HttpHeaderNames.ETAG, etag);
         if (etag.equals(request.requestHeaders().get(HttpHeaderNames.IF_NONE_MATCH))) {
--- a/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationStore.java
+++ b/radishpass-tables/src/main/java/org/radishpass/tables/configuration/ConfigurationStore.java
@@ -50,7 +50,7 @@
      * Returns the revision in the store. The result fails with {@link StoreUnavailableException} if the store cannot be
      * read.
      */
-    public Mono<Long> head() {
+    public Mono<Long> headRevision() {
         TableTransaction read = TableTransaction.builder().read(HEAD).build();
         return tables.transact(read)
                 .flatMap(ConfigurationStore::requireCommitted)
@@ -77,7 +77,7 @@
      * @param head the newest revision
      * @param count the maximum number of changes
      */
-    public Mono<List<ConfigurationChange>> newest(long head, int count) {
+    public Mono<List<ConfigurationChange>> newestChanges(long head, int count) {
         return changesAfter(Math.max(0, head - count)).map(found -> {
             List<ConfigurationChange> reversed = new ArrayList<>(found);
             java.util.Collections.reverse(reversed);
--- a/radishpass-tables/src/test/java/org/radishpass/tables/configuration/ConfigurationWriterTest.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/configuration/ConfigurationWriterTest.java
@@ -52,7 +52,7 @@
 
     @Test
     void aWriteWithALostResponseIsConfirmedByReadingBack() {
-        tables.nextWrites(Fault.ANSWER_LOST);
+        tables.setFaultsOfNextWrites(Fault.ANSWER_LOST);
 
         assertAccepted(apply(OptionalLong.empty(), model("a", "1")), 1);
         assertThat(tables.writes()).isEqualTo(1);
@@ -60,14 +60,14 @@
 
     @Test
     void aWriteLostOnTheWayHasAnUnknownResult() {
-        tables.nextWrites(Fault.REQUEST_LOST);
+        tables.setFaultsOfNextWrites(Fault.REQUEST_LOST);
 
         assertThat(apply(OptionalLong.empty(), model("a", "1"))).isInstanceOf(WriteResult.Unknown.class);
     }
 
     @Test
     void aRefusedWriteChangesNothing() {
-        tables.nextWrites(Fault.REFUSED);
+        tables.setFaultsOfNextWrites(Fault.REFUSED);
 
         assertThat(apply(OptionalLong.empty(), model("a", "1"))).isInstanceOf(WriteResult.Refused.class);
         assertThat(snapshot().revision()).isEqualTo(0);
@@ -75,11 +75,11 @@
 
     @Test
     void aDelayedWriteDoesNotOverwriteANewerOne() {
-        tables.nextWrites(Fault.LATE);
+        tables.setFaultsOfNextWrites(Fault.DELAYED);
         apply(OptionalLong.empty(), model("a", "1"));
         apply(OptionalLong.empty(), model("a", "2"));
 
-        tables.deliverLate();
+        tables.commitDelayedWrites();
 
         assertThat(snapshot().model("a").orElseThrow().version()).isEqualTo("2");
         assertThat(snapshot().revision()).isEqualTo(1);
--- a/radishpass-tables/src/test/java/org/radishpass/tables/once/ClaimStoreTest.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/once/ClaimStoreTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void aClaimWithALostResponseIsRecognizedByItsToken() {
-        tables.nextWrites(Fault.ANSWER_LOST);
+        tables.setFaultsOfNextWrites(Fault.ANSWER_LOST);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Run.class);
         assertThat(claim("two")).isInstanceOf(ClaimDecision.InProgress.class);
@@ -31,7 +31,7 @@
 
     @Test
     void aClaimLostOnTheWayMayNotRun() {
-        tables.nextWrites(Fault.REQUEST_LOST);
+        tables.setFaultsOfNextWrites(Fault.REQUEST_LOST);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
         assertThat(claim("two")).isInstanceOf(ClaimDecision.Run.class);
@@ -39,18 +39,18 @@
 
     @Test
     void aDelayedClaimDoesNotReplaceALaterOne() {
-        tables.nextWrites(Fault.LATE);
+        tables.setFaultsOfNextWrites(Fault.DELAYED);
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
         assertThat(claim("two")).isInstanceOf(ClaimDecision.Run.class);
 
-        tables.deliverLate();
+        tables.commitDelayedWrites();
 
         assertThat(claim("three")).isInstanceOf(ClaimDecision.InProgress.class);
     }
 
     @Test
     void noRequestMayRunDuringAStoreOutage() {
-        tables.out(true);
+        tables.setOutage(true);
 
         assertThat(claim("one")).isInstanceOf(ClaimDecision.Unavailable.class);
     }
--- a/radishpass-tables/src/test/java/org/radishpass/tables/testing/FakeTables.java
+++ b/radishpass-tables/src/test/java/org/radishpass/tables/testing/FakeTables.java
@@ -16,10 +16,10 @@
 public final class FakeTables implements TableService {
     private final TreeMap<String, TableRow> rows = new TreeMap<>();
     private final Deque<Fault> faults = new ArrayDeque<>();
-    private final List<TableTransaction> late = new ArrayList<>();
+    private final List<TableTransaction> delayedWrites = new ArrayList<>();
     private long lastVersion;
     private int writes;
-    private boolean out;
+    private boolean outage;
 
     /** The fault of a write. */
     public enum Fault {
@@ -29,8 +29,8 @@
         ANSWER_LOST,
         /** The write is lost on the way and never takes effect. */
         REQUEST_LOST,
-        /** The write gets no response and takes effect only when {@link #deliverLate} is called. */
-        LATE,
+        /** The write gets no response and takes effect only when {@link #commitDelayedWrites} is called. */
+        DELAYED,
         /** The service refuses the write. */
         REFUSED
     }
@@ -40,23 +40,23 @@
      *
      * @param next one fault for each write
      */
-    public void nextWrites(Fault... next) {
+    public void setFaultsOfNextWrites(Fault... next) {
         faults.addAll(List.of(next));
     }
 
     /**
      * Starts or ends an outage.
      *
-     * @param isOut whether transactions get no response
+     * @param hasOutage whether transactions get no response
      */
-    public void out(boolean isOut) {
-        this.out = isOut;
+    public void setOutage(boolean hasOutage) {
+        this.outage = hasOutage;
     }
 
     /** Commits the delayed writes, in the order of their arrival. */
-    public void deliverLate() {
-        late.forEach(this::commit);
-        late.clear();
+    public void commitDelayedWrites() {
+        delayedWrites.forEach(this::commit);
+        delayedWrites.clear();
     }
 
     /** Returns the number of transactions with writes that were received, except during an outage. */
@@ -70,7 +70,7 @@
     }
 
     private TableResult answer(TableTransaction transaction) {
-        if (out) {
+        if (outage) {
             return new TableResult.Unknown("an outage");
         }
         if (!transaction.writing()) {
@@ -85,8 +85,8 @@
                 yield new TableResult.Unknown("the answer was lost");
             }
             case REQUEST_LOST -> new TableResult.Unknown("the request was lost");
-            case LATE -> {
-                late.add(transaction);
+            case DELAYED -> {
+                delayedWrites.add(transaction);
                 yield new TableResult.Unknown("the request is late");
             }
             case REFUSED -> new TableResult.Refused("the rate limit");
