--- a/radishpass-peer/src/main/java/org/radishpass/peer/message/WorkScope.java
+++ b/radishpass-peer/src/main/java/org/radishpass/peer/message/WorkScope.java
@@ -6,7 +6,7 @@
  * @since 0.3.0
  */
 public enum WorkScope {
-    /** The sender's own work, sent to the gatherer of the sender's group, which aggregates it. */
+    /** The sender's own work, sent to the gatherer of the sender's group, which adds up the work of the group. */
     MEMBER,
     /** The work of the sender's whole group, sent to the gatherers of the other groups. */
     GROUP,
@@ -17,7 +17,7 @@
      * Tells whether the sender of such a message is the gatherer of its group. Gatherers read from the store what all
      * routers need.
      */
-    public boolean leads() {
+    public boolean sentByGatherer() {
         return this != MEMBER;
     }
 }
