--- a/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightTracker.java
+++ b/radishpass-routing/src/main/java/org/radishpass/routing/load/InFlightTracker.java
@@ -109,7 +109,7 @@
      * Stores a peer's report, which replaces the peer's previous report.
      *
      * @param peerId the peer
-     * @param scope the routers whose work is reported; a report on all others replaces the reports of all group leaders
+     * @param scope the routers whose work is reported; a report on all others replaces the reports of all gatherers
      * @param work the work by endpoint
      * @param nowMillis the time on the monotonic clock, in milliseconds
      */
