--- a/radishpass-load/src/main/java/org/radishpass/load/LoadSettings.java
+++ b/radishpass-load/src/main/java/org/radishpass/load/LoadSettings.java
@@ -31,16 +31,16 @@
     @Argument(index = 1, metaVar = "EXPERIMENT", usage = "experiment file")
     private @Nullable Path experimentFile;
 
-    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory in which processes write their ports files")
+    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory where processes write their ports")
     private @Nullable Path runDirectory;
 
     @Option(name = "--policy", metaVar = "NAME", usage = "placement policy under which the fleet runs")
     private String policy = "bounded-affinity";
 
-    @Option(name = "--changes", metaVar = "N", usage = "number of configuration changes to time")
+    @Option(name = "--changes", metaVar = "N", usage = "changes of configuration to time")
     private int changes = 300;
 
-    @Option(name = "--json", metaVar = "FILE", usage = "report file to create, or to add this policy to")
+    @Option(name = "--json", metaVar = "FILE", usage = "report to write, or to add this policy to")
     private @Nullable Path reportFile;
 
     private @Nullable Experiment experiment;
--- a/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulateMain.java
+++ b/radishpass-simulation/src/main/java/org/radishpass/simulation/SimulateMain.java
@@ -23,18 +23,13 @@
 public final class SimulateMain {
     private static final int USAGE_EXIT_CODE = 2;
 
-    @Argument(
-            required = true,
-            metaVar = "FILE",
-            usage = "the YAML file of the experiment; examples are in experiments/simulation")
+    @Argument(required = true, metaVar = "FILE", usage = "the experiment, see experiments/simulation")
     private Path file = Path.of("");
 
-    @Option(name = "--seeds", metaVar = "N..M", usage = "the range of random seeds to simulate")
+    @Option(name = "--seeds", metaVar = "N..M", usage = "the seeds that are played")
     private String seeds = "1..5";
 
-    @Option(
-            name = "--classes",
-            usage = "also print one line per request class for each seed, with all policies switched on")
+    @Option(name = "--classes", usage = "print a line for each class of requests, with all policies")
     private boolean printClasses;
 
     private SimulateMain() {
--- a/radishpass-standin/src/main/java/org/radishpass/standin/StandInSettings.java
+++ b/radishpass-standin/src/main/java/org/radishpass/standin/StandInSettings.java
@@ -22,28 +22,25 @@
     @Option(name = "--deployment", metaVar = "NAME", usage = "authority or granite-trough")
     private String deployment = "authority";
 
-    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory in which processes write their ports files")
+    @Option(name = "--run-dir", metaVar = "DIR", usage = "directory where processes write their ports")
     private @Nullable Path runDirectory;
 
-    @Option(name = "--seed", metaVar = "N", usage = "seed of the random generators")
+    @Option(name = "--seed", metaVar = "N", usage = "seed of all chance")
     private long seed = 1;
 
-    @Option(name = "--capacity", metaVar = "N", usage = "most requests in an engine's batch")
+    @Option(name = "--capacity", metaVar = "N", usage = "requests that an engine batches at once")
     private int capacity = EngineSettings.DEFAULT.capacity();
 
-    @Option(name = "--prefill-micros", metaVar = "US", usage = "prefill time of an uncached prompt token")
+    @Option(name = "--prefill-micros", metaVar = "US", usage = "time for a prompt token that is not cached")
     private int prefillMicros = EngineSettings.DEFAULT.prefillMicrosPerToken();
 
-    @Option(name = "--decode-micros", metaVar = "US", usage = "time between answer tokens at low load")
+    @Option(name = "--decode-micros", metaVar = "US", usage = "time between tokens of an idle engine")
     private int decodeMicros = EngineSettings.DEFAULT.decodeMicrosPerToken();
 
-    @Option(
-            name = "--cache-blocks",
-            metaVar = "N",
-            usage = "capacity of an engine's prefix cache, in blocks of 16 tokens")
+    @Option(name = "--cache-blocks", metaVar = "N", usage = "blocks of 16 tokens that an engine caches")
     private int cacheBlocks = EngineSettings.DEFAULT.cacheBlocks();
 
-    @Option(name = "--report-lag-millis", metaVar = "MS", usage = "delay of load reports")
+    @Option(name = "--report-lag-millis", metaVar = "MS", usage = "how late load reports are")
     private int reportLagMillis = EngineSettings.DEFAULT.reportLagMillis();
 
     @Override
